--- a/src/core/dispatch/request_placing.ts
+++ b/src/core/dispatch/dispatch_planner.ts
@@ -7,7 +7,7 @@
 import type { TrackedServer } from "../fleet/index.ts";
 import type { Hold } from "../quarantine/index.ts";
 import type { DispatchContext } from "./dispatch_context.ts";
-import type { RefusedRanges } from "./refused_ranges.ts";
+import type { RefusedRanges } from "./range_backoff.ts";
 import type { PendingRequest } from "./request.ts";
 import { chooseServer, hasRoom } from "./server_choice.ts";
 
--- a/src/core/dispatch/dispatcher.ts
+++ b/src/core/dispatch/dispatcher.ts
@@ -18,11 +18,11 @@
 } from "./request.ts";
 import { DEADLINE_SLACK, dueAt, waitEndOf } from "./request_times.ts";
 import { OutcomeReview, type Sequel } from "./outcome_review.ts";
-import { OwnAnswers } from "./own_answers.ts";
+import { OwnAnswers } from "./local_responses.ts";
 import { RequestLog } from "./request_log.ts";
-import { type Placing, RequestPlacing, type Wait } from "./request_placing.ts";
-import { RefusedRanges } from "./refused_ranges.ts";
-import { RetryAdvice } from "./retry_advice.ts";
+import { type Placing, RequestPlacing, type Wait } from "./dispatch_planner.ts";
+import { RefusedRanges } from "./range_backoff.ts";
+import { RetryAdvice } from "./retry_after_policy.ts";
 import { RetryPolicy } from "./retry_policy.ts";
 import { WaitQueues } from "./wait_queues.ts";
 
--- a/src/core/dispatch/own_answers.ts
+++ b/src/core/dispatch/local_responses.ts
@@ -8,7 +8,7 @@
 import type { DispatchEffect } from "./dispatch_effect.ts";
 import type { PendingRequest, RequestArrival } from "./request.ts";
 import type { RequestLog } from "./request_log.ts";
-import type { RetryAdvice } from "./retry_advice.ts";
+import type { RetryAdvice } from "./retry_after_policy.ts";
 
 /** What callers of a VM that stops are asked to wait for, in ms. */
 const STOPPING_RETRY_AFTER = 20;
--- a/src/core/dispatch/outcome_review.ts
+++ b/src/core/dispatch/outcome_review.ts
@@ -11,7 +11,7 @@
 import type { TrackedServer } from "../fleet/index.ts";
 import type { DispatchContext } from "./dispatch_context.ts";
 import type { DispatchEffect, Note } from "./dispatch_effect.ts";
-import type { RefusedRanges } from "./refused_ranges.ts";
+import type { RefusedRanges } from "./range_backoff.ts";
 import type { Attempt, AttemptOutcome, PendingRequest } from "./request.ts";
 import type { RequestLog } from "./request_log.ts";
 
--- a/src/core/dispatch/request_times.ts
+++ b/src/core/dispatch/request_times.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { PendingRequest } from "./request.ts";
-import type { Wait } from "./request_placing.ts";
+import type { Wait } from "./dispatch_planner.ts";
 
 /** Time after the deadline for which a server's own last answer is awaited, in
  * milliseconds: servers stop at the deadline and say so. */
