--- a/src/core/dispatch/cold_admission.ts
+++ b/src/core/dispatch/cold_admission.ts
@@ -41,7 +41,7 @@
   }
 
   /** Whether this VM may send one more request to a server now. */
-  mayTake(server: TrackedServer, now: number): boolean {
+  maySend(server: TrackedServer, now: number): boolean {
     const interval = this.#interval(server, now);
     if (interval === null) return true;
     return this.rateShare.mayTake(server.id, interval, now);
--- a/src/core/dispatch/cold_admission_test.ts
+++ b/src/core/dispatch/cold_admission_test.ts
@@ -64,7 +64,7 @@
   for (let now = 0; now < WARM_UP; now += 1_000 / rate) {
     const { admission, fleet, from } = entries[Math.floor(draw() * vms)];
     const server = fleet.get("s")!;
-    if (now < from || !admission.mayTake(server, now)) continue;
+    if (now < from || !admission.maySend(server, now)) continue;
     admission.started(server, now);
     times.push(now);
   }
@@ -119,14 +119,14 @@
 
 test("cold admission: a warm server and a service without warm-up settings have no limit", (t) => {
   const limited = catalogWith({ duration: WARM_UP, requestsPerSecond: RATE });
-  const mayTake = (catalog: Catalog, warmUp: number, now: number) =>
+  const maySend = (catalog: Catalog, warmUp: number, now: number) =>
     ColdAdmission.create(catalog, () => 61, () => 0.5)
-      .mayTake(fleetWith(warmUp, 0).get("s")!, now);
+      .maySend(fleetWith(warmUp, 0).get("s")!, now);
   t.deepEqual({
-    cold: mayTake(limited, WARM_UP, 10),
-    later: mayTake(limited, WARM_UP, WARM_UP),
-    warm: mayTake(limited, 0, 10),
-    unlimited: mayTake(catalogWith(), WARM_UP, 10),
+    cold: maySend(limited, WARM_UP, 10),
+    later: maySend(limited, WARM_UP, WARM_UP),
+    warm: maySend(limited, 0, 10),
+    unlimited: maySend(catalogWith(), WARM_UP, 10),
   }, { cold: false, later: true, warm: true, unlimited: true });
 });
 
@@ -140,8 +140,8 @@
   t.true(server.isLeaving);
   fleet.evacuate({ evacuated: [], restored: [zone] }, 5_000);
   t.false(server.isLeaving);
-  t.false(admission.mayTake(server, 5_001));
-  t.true(admission.mayTake(server, 5_000 + WARM_UP));
+  t.false(admission.maySend(server, 5_001));
+  t.true(admission.maySend(server, 5_000 + WARM_UP));
 });
 
 test("cold admission: a server that refused connections counts as cold when it is back", (t) => {
@@ -151,14 +151,14 @@
   server.started(1, 0);
   server.gone();
   server.failed(1, 1);
-  t.false(admission.mayTake(server, 20_000));
+  t.false(admission.maySend(server, 20_000));
   // However long ago the refused connection was, the first requests are limited.
-  t.false(admission.mayTake(server, 50_000));
+  t.false(admission.maySend(server, 50_000));
   server.started(2, 58_000);
   admission.started(server, 58_000);
   server.answered(2, 58_100, null);
-  t.false(admission.mayTake(server, 58_200));
-  t.true(admission.mayTake(server, 58_100 + WARM_UP));
+  t.false(admission.maySend(server, 58_200));
+  t.true(admission.maySend(server, 58_100 + WARM_UP));
 });
 
 test("cold admission: a cold server that may receive a request is preferred to equal warm ones", (t) => {
--- a/src/core/dispatch/dispatch_planner.ts
+++ b/src/core/dispatch/dispatch_planner.ts
@@ -213,7 +213,7 @@
     if (now > keysServedUntil(server)) {
       return transientWait("the key's server is leaving");
     }
-    if (!this.context.cold.mayTake(server, now)) {
+    if (!this.context.cold.maySend(server, now)) {
       return openEndedWait("the key's server is cold");
     }
     if (!hasCapacity(server, now, this.context.vms())) {
--- a/src/core/dispatch/dispatcher.ts
+++ b/src/core/dispatch/dispatcher.ts
@@ -172,7 +172,7 @@
   /** Applies expired timers, then sends queued requests where possible. */
   advance(now: number): DispatchEffect[] {
     for (const request of [...this.#requests.values()]) {
-      this.#advanceRequest(request, now);
+      this.#checkTimers(request, now);
     }
     for (const service of this.#queues.services()) this.#drain(service, now);
     return this.#takeEffects();
@@ -187,6 +187,7 @@
     return next;
   }
 
+  /** Creates the state of a request that has a route. */
   #register(
     arrival: RequestArrival,
     route: Route,
@@ -377,7 +378,8 @@
     return true;
   }
 
-  #advanceRequest(request: PendingRequest, now: number): void {
+  /** Ends a request whose wait limit or deadline has passed, or hedges it. */
+  #checkTimers(request: PendingRequest, now: number): void {
     if (now < nextCheckAt(request)) return;
     request.checkedAt = now;
     if (request.attempts.length === 0) {
@@ -489,7 +491,7 @@
     const queue = this.#queues.of(service);
     if (queue.length === 0) return;
     let isAtCapacity = false;
-    const rest: PendingRequest[] = [];
+    const stillQueued: PendingRequest[] = [];
     for (const request of [...queue]) {
       const { fingerprint } = request.arrival;
       const isQuarantined =
@@ -497,7 +499,7 @@
       const needsCapacity = request.key === null &&
         request.checkAt === Infinity;
       if (isAtCapacity && needsCapacity && !isQuarantined) {
-        rest.push(request);
+        stillQueued.push(request);
         continue;
       }
       const plan = this.#planner.plan(request, now);
@@ -510,10 +512,10 @@
         isAtCapacity = isAtCapacity ||
           (request.tried.length === 0 && !plan.isRequestSpecific);
         request.checkAt = plan.until;
-        rest.push(request);
+        stillQueued.push(request);
       }
     }
-    this.#queues.replace(service, rest);
+    this.#queues.replace(service, stillQueued);
   }
 
   #refuse(request: PendingRequest, reason: string, now: number): void {
@@ -560,6 +562,7 @@
     permits.ended(whole, arrival.id, mayStillRun);
   }
 
+  /** Returns the collected effects and clears them. */
   #takeEffects(): DispatchEffect[] {
     const effects = this.#effects;
     this.#effects = [];
--- a/src/core/dispatch/outcome_review.ts
+++ b/src/core/dispatch/outcome_review.ts
@@ -24,7 +24,7 @@
 const BROKEN_ATTEMPT_DELAY = 30;
 
 /** Outcome of an attempt to which a server responded. */
-type Answer = AttemptOutcome & { kind: "answered" };
+type ServerResponse = AttemptOutcome & { kind: "answered" };
 
 /** The step that follows an attempt. */
 export type NextStep =
@@ -74,13 +74,14 @@
     this.#updateRateLimit(attempt, outcome, now);
     return outcome.isNotRun
       ? this.#handleRefusal(request, attempt, outcome, now)
-      : this.#handleAnswer(request, attempt, outcome, now);
+      : this.#handleResponse(request, attempt, outcome, now);
   }
 
-  #handleAnswer(
+  /** Handles a response to a request that the server ran. */
+  #handleResponse(
     request: PendingRequest,
     attempt: Attempt,
-    { status, isGenuine, load }: Answer,
+    { status, isGenuine, load }: ServerResponse,
     now: number,
   ): NextStep {
     const server = this.context.fleet.get(attempt.server);
@@ -109,7 +110,8 @@
    * attempt was sent. */
   #updateRateLimit(
     { number, server: id, startedAt }: Attempt,
-    { server: respondingServer, isGenuine, isNotRun, rateLimit }: Answer,
+    { server: respondingServer, isGenuine, isNotRun, rateLimit }:
+      ServerResponse,
     now: number,
   ): void {
     const server = this.context.fleet.get(id);
@@ -126,7 +128,7 @@
   #handleRefusal(
     request: PendingRequest,
     attempt: Attempt,
-    { status, server: respondingServer, load }: Answer,
+    { status, server: respondingServer, load }: ServerResponse,
     now: number,
   ): NextStep {
     const server = this.context.fleet.get(attempt.server);
@@ -196,6 +198,7 @@
     if (known?.server === attempt.server) this.context.keyRefused();
   }
 
+  /** Handles an attempt without a response. */
   #handleFailure(
     request: PendingRequest,
     attempt: Attempt,
@@ -212,7 +215,7 @@
     if (wasSent) return retryOrFail(request, attempt, cause, now);
     const detail = { server: attempt.server, cause };
     this.log.write("info", "attempt.not_sent", request, now, detail);
-    // Nothing reached a server, so this attempt does not count against the retry budget.
+    // Nothing reached a server, so the next attempt is not a retry of this one.
     request.sentCount -= 1;
     if (request.mayHaveRun) {
       return { kind: "fail", reason: "not sent again", detail: null };
--- a/src/core/dispatch/retry_budget.ts
+++ b/src/core/dispatch/retry_budget.ts
@@ -27,7 +27,8 @@
 const SAFETY_FACTOR = 0.75;
 /** Share of its minimum that a VM may use in its first window, in proportion to the time
  * since its start. A restarted VM has lost the count of its earlier retries, which still
- * count against the budget. With this share, repeated restarts stay within the budget. */
+ * count against the budget. The two shares add up to 1, so that a VM stays within its
+ * minimum however often it restarts. */
 const INITIAL_SHARE = 1 - SAFETY_FACTOR;
 
 const MILLISECONDS_PER_SECOND = 1_000;
@@ -44,7 +45,7 @@
  *
  * ```ts
  * budget.recordRequest(now);
- * if (budget.withdraw(now, vms)) sendAgain();
+ * if (budget.withdraw(now, vms)) retry();
  * ```
  */
 export class RetryBudget {
@@ -67,13 +68,13 @@
 
   /** Takes a retry from the share of one of `vms` VMs; false if none is left. */
   withdraw(now: number, vms: number): boolean {
-    if (this.left(now, vms) < 1) return false;
+    if (this.remaining(now, vms) < 1) return false;
     this.#bucket(now).retries += 1;
     return true;
   }
 
   /** Number of retries that one of `vms` VMs has left. */
-  left(now: number, vms: number): number {
+  remaining(now: number, vms: number): number {
     const bucket = this.#bucket(now);
     let requests = 0;
     let retries = 0;
--- a/src/core/dispatch/retry_policy.ts
+++ b/src/core/dispatch/retry_policy.ts
@@ -8,12 +8,13 @@
 import type { PendingRequest } from "./request.ts";
 import { RetryBudget } from "./retry_budget.ts";
 
-/** A request is hedged after this multiple of the usual latency of the service, but not
- * before {@linkcode HEDGE_TARGET_SHARE}. */
+/** A request is hedged after this multiple of the mean latency of its service, or after
+ * {@linkcode HEDGE_TARGET_SHARE} of its target latency if that is longer. */
 const HEDGE_LATENCY_FACTOR = 3;
-/** Share of the route's target latency before which a request is not hedged. */
+/** Share of the route's target latency during which a request is not hedged. */
 const HEDGE_TARGET_SHARE = 0.5;
-/** Number of servers terminated by a request from which on it is no longer retried. */
+/** Number of servers that terminated while they processed a request, from which on the
+ * request is no longer retried. */
 const ENDS_TO_STOP_RETRIES = 2;
 /** Number of VMs that are assumed to share the retry budget while their number is
  * unknown. It is high, because too few retries are safer than too many. */
@@ -63,10 +64,10 @@
   hedgeAt(request: PendingRequest, now: number): number {
     const { isIdempotent, targetLatency } = request.route;
     if (!isIdempotent || request.key !== null) return Infinity;
-    const usualLatency = this.context.fleet.usualLatency(request.service, now);
+    const meanLatency = this.context.fleet.usualLatency(request.service, now);
     return now +
       Math.max(
-        HEDGE_LATENCY_FACTOR * usualLatency,
+        HEDGE_LATENCY_FACTOR * meanLatency,
         HEDGE_TARGET_SHARE * targetLatency,
       );
   }
@@ -74,7 +75,7 @@
   /** Whether a retry is left in this VM's share of the budget. */
   mayWithdraw(request: PendingRequest, now: number): boolean {
     const vms = this.context.vms() ?? ASSUMED_VMS;
-    return this.#budget(request.service).left(now, vms) >= 1;
+    return this.#budget(request.service).remaining(now, vms) >= 1;
   }
 
   /** Takes a retry from this VM's share of the budget; false if none is left. */
@@ -85,8 +86,8 @@
 
   /** Whether a response before the deadline is still likely. */
   #isWorthwhile(request: PendingRequest, now: number): boolean {
-    const usualLatency = this.context.fleet.usualLatency(request.service, now);
-    return request.deadline - now > usualLatency / 2;
+    const meanLatency = this.context.fleet.usualLatency(request.service, now);
+    return request.deadline - now > meanLatency / 2;
   }
 
   #budget(service: string): RetryBudget {
--- a/src/core/dispatch/server_choice.ts
+++ b/src/core/dispatch/server_choice.ts
@@ -1,5 +1,6 @@
 /**
- * Selects a backend server for a request without a key, by expected cost.
+ * Selects the backend server for a request without a key, and limits the requests that
+ * this VM sends to each server.
  *
  * @module
  */
@@ -86,16 +87,16 @@
   context: ChoiceContext,
 ): TrackedServer | null {
   const { fleet, vms, cold, tokens } = context;
-  const usualLatency = fleet.usualLatency(service, now);
+  const meanLatency = fleet.usualLatency(service, now);
   const usable = sample(fleet.of(service), context.draw).filter((server) =>
     !server.isLeaving && !tried.includes(server.id)
   );
   const healthy = usable.filter((server) =>
-    !server.isPaused(now) && !server.isSilent(now, usualLatency)
+    !server.isPaused(now) && !server.isSilent(now, meanLatency)
   );
   const pool = healthy.length > 0 ? healthy : usable;
   const candidates = pool.filter((server) =>
-    hasCapacity(server, now, vms) && cold.mayTake(server, now)
+    hasCapacity(server, now, vms) && cold.maySend(server, now)
   );
   requestToken(candidates, now, context);
   let best: TrackedServer | null = null;
@@ -106,7 +107,7 @@
       tokens.isLimited(server, now);
     const isSameZone =
       server.entry.availabilityZone === context.availabilityZone;
-    const cost = (server.cost(now, usualLatency) + 1) *
+    const cost = (server.cost(now, meanLatency) + 1) *
       (isSameZone ? 1 : REMOTE_ZONE_FACTOR) *
       (isRestricted ? RESTRICTED_FACTOR : 1) *
       (1 + JITTER * context.draw());
