--- a/src/core/dispatch/dispatcher_test.ts
+++ b/src/core/dispatch/dispatcher_test.ts
@@ -642,7 +642,8 @@
   ]);
 });
 
-/** Records three servers terminated by a request, which quarantines it from 1,000 ms on. */
+/** Records that a request terminated three servers, which quarantines it from 1,000 ms
+ * on. */
 function quarantineRequest(quarantine: Quarantine, path: string): void {
   for (const run of ["a#1", "b#1", "c#1"]) {
     quarantine.accuse(fingerprintOf(path).whole, path, run, 0);
--- a/src/core/dispatch/outcome_review.ts
+++ b/src/core/dispatch/outcome_review.ts
@@ -174,7 +174,7 @@
   }
 
   /** Records that a server has terminated: its address refuses connections or belongs to
-   * another instance. */
+   * another incarnation. */
   #recordServerEnd(
     server: TrackedServer | undefined,
     attempt: Attempt,
--- a/src/core/dispatch/range_backoff.ts
+++ b/src/core/dispatch/range_backoff.ts
@@ -3,8 +3,8 @@
  * known to this VM is outdated, or the server does not own the range yet. Until a newer
  * assignment is known, one request at a time probes the server and the others wait.
  *
- * Without it, each request was retried separately every 30 ms: a single VM sent 200
- * requests to one keyed service 234 times in 2 s.
+ * Without it, each request was retried separately every 30 ms: a single VM made 234
+ * attempts for 200 requests to one keyed service in 2 s.
  *
  * @module
  */
@@ -19,7 +19,7 @@
 /** Backoff state of one range. */
 interface Backoff {
   delay: number;
-  /** Time of the last refusal that raised the delay. */
+  /** Time of the last refusal that started or extended the backoff. */
   refusedAt: number;
   /** Time before which no request is sent for the range. */
   blockedUntil: number;
