--- /dev/null
+++ b/src/core/dispatch/dispatch_planner.ts
@@ -0,0 +1,256 @@
+/**
+ * Decides whether a request can be sent, and to which server: for a request with a key
+ * the server that owns the key, otherwise the server with the lowest expected cost.
+ *
+ * @module
+ */
+import type { TrackedServer } from "../fleet/index.ts";
+import type { Hold } from "../quarantine/index.ts";
+import type { DispatchContext } from "./dispatch_context.ts";
+import type { RangeBackoff } from "./range_backoff.ts";
+import type { PendingRequest } from "./request.ts";
+import { chooseServer, hasCapacity } from "./server_choice.ts";
+
+/** Time for which requests are still sent to a draining server for its keys, in
+ * milliseconds, while the keys are moved to other servers. */
+const DRAINING_KEY_GRACE = 700;
+
+/** The same for a server in an evacuated availability zone, in milliseconds. It is
+ * longer because many keys move at the same time. All VMs learn of an evacuation within
+ * 1 s, so the total stays within the 5 s that operators allow for an evacuation. */
+const EVACUATED_KEY_GRACE = 3_200;
+
+/** Whether and where a request can be sent now. */
+export type DispatchPlan =
+  | { kind: "server"; server: TrackedServer }
+  /** Refused because the key is overloaded: only `share` of its requests is accepted,
+   * according to a limit that is `age` milliseconds old. */
+  | { kind: "shed"; reason: string; share: number; age: number }
+  /** Refused for some time, because servers terminated while they processed it. */
+  | { kind: "quarantined"; hold: Hold }
+  /** Refused because waiting would not help: the request has terminated a server and
+   * another copy of it is running, all servers are leaving, or a rate limit is reached
+   * (`isRateLimited`). */
+  | { kind: "reject"; reason: string; isRateLimited: boolean }
+  /** Cannot be sent now, but may be later. */
+  | {
+    kind: "wait";
+    reason: string;
+    /** Whether the condition is expected to end soon. */
+    isTransient: boolean;
+    /** Whether the condition affects only this request. */
+    isRequestSpecific: boolean;
+    /** When the condition ends by itself; Infinity if it does not. */
+    until: number;
+  };
+
+/** A plan to queue a request. */
+export type WaitPlan = DispatchPlan & { kind: "wait" };
+
+/** A wait of unknown duration, for example for capacity or for a lost server. */
+function openEndedWait(reason: string): DispatchPlan {
+  return {
+    kind: "wait",
+    reason,
+    isTransient: false,
+    isRequestSpecific: false,
+    until: Infinity,
+  };
+}
+
+/** A wait that is expected to end soon, for example while a key moves. */
+function transientWait(reason: string, until = Infinity): DispatchPlan {
+  return {
+    kind: "wait",
+    reason,
+    isTransient: true,
+    isRequestSpecific: false,
+    until,
+  };
+}
+
+/** A wait for a condition that affects only this request. */
+function requestSpecificWait(reason: string, until: number): DispatchPlan {
+  return {
+    kind: "wait",
+    reason,
+    isTransient: true,
+    isRequestSpecific: true,
+    until,
+  };
+}
+
+/** A refusal of a request for which waiting would not help. */
+function rejection(reason: string, isRateLimited = false): DispatchPlan {
+  return { kind: "reject", reason, isRateLimited };
+}
+
+/** See the module's comment. */
+export class DispatchPlanner {
+  private constructor(
+    private readonly context: DispatchContext,
+    private readonly rangeBackoff: RangeBackoff,
+  ) {}
+
+  /** Creates a planner that sends no request for a key range in `rangeBackoff` before
+   * its delay has passed. */
+  static create(
+    context: DispatchContext,
+    rangeBackoff: RangeBackoff,
+  ): DispatchPlanner {
+    return new DispatchPlanner(context, rangeBackoff);
+  }
+
+  /** Decides whether and where `request` can be sent now. */
+  plan(request: PendingRequest, now: number): DispatchPlan {
+    const { fleet, availabilityZone, draw, quarantine } = this.context;
+    const hold = quarantine.hold(request.arrival.fingerprint, now);
+    if (hold !== null) return { kind: "quarantined", hold };
+    if (now < request.retryNotBefore) {
+      return requestSpecificWait(
+        "its server broke off",
+        request.retryNotBefore,
+      );
+    }
+    const blocked = this.#checkPermit(request, now);
+    if (blocked !== null) return blocked;
+    if (request.key !== null) {
+      return this.#planKeyed(request, request.key, now);
+    }
+    const { cold, tokens } = this.context;
+    const vms = this.context.vms();
+    const isUrgent = this.#isUrgent(request);
+    const context = {
+      fleet,
+      availabilityZone,
+      vms,
+      cold,
+      tokens,
+      isUrgent,
+      draw,
+    };
+    const server = chooseServer(request.service, request.tried, now, context);
+    if (server !== null) return { kind: "server", server };
+    const servers = fleet.of(request.service);
+    const usable = servers.filter((each) => !each.isLeaving);
+    if (servers.length > 0 && usable.length === 0) {
+      return rejection("all servers of the service are leaving");
+    }
+    const isTokenDenied = (server: TrackedServer) =>
+      tokens.deniedUntil(server, now) >= request.waitEnd;
+    if (usable.length > 0 && usable.every(isTokenDenied)) {
+      return rejection("all servers of the service limit their requests", true);
+    }
+    return openEndedWait("no server has room");
+  }
+
+  /** Checks the permit of a request that terminated a server, since only one copy of it
+   * may run at a time. Returns null if the request may run. */
+  #checkPermit(request: PendingRequest, now: number): DispatchPlan | null {
+    const { quarantine, permits } = this.context;
+    const { fingerprint, id } = request.arrival;
+    if (quarantine.ends(fingerprint) === 0) return null;
+    const { whole } = fingerprint;
+    const remaining = request.deadline - now;
+    const permission = permits.check(whole, id, remaining, now);
+    switch (permission.kind) {
+      case "granted":
+        return null;
+      case "asked":
+        return requestSpecificWait("its permit to run alone", permission.until);
+      case "denied": {
+        const reason = "a backend server has ended under this request, and " +
+          "another copy of it runs";
+        return rejection(reason);
+      }
+    }
+  }
+
+  /** Whether no route to the service has a more urgent priority than the request's. */
+  #isUrgent({ route, service }: PendingRequest): boolean {
+    return this.context.catalog.isMostUrgent(route, service);
+  }
+
+  /** Share of the requests for a key that its server can accept. A load that the server
+   * has just reported to this VM takes precedence over the limit on the key. */
+  #admittedShare(
+    service: string,
+    key: number,
+    server: string | null,
+    now: number,
+  ): number {
+    const { fleet, keyLimits } = this.context;
+    if (server !== null && fleet.get(server)?.isLoadKnown(now)) return 1;
+    return keyLimits.share(service, key, now);
+  }
+
+  #planKeyed(request: PendingRequest, key: number, now: number): DispatchPlan {
+    const { fleet, directory } = this.context;
+    const range = directory.find(request.service, key);
+    if (range === undefined) {
+      return openEndedWait("no assignment of keys is known");
+    }
+    // The limit also applies while the key moves; otherwise all queued requests would
+    // reach the new owner at the same time.
+    const share = this.#admittedShare(request.service, key, range.server, now);
+    if (request.chance >= share) {
+      const reason = "the key is asked for more than its server can do";
+      const age = this.context.keyLimits.age(now);
+      return { kind: "shed", reason, share, age };
+    }
+    if (!range.isOpen || range.server === null) {
+      return transientWait("the key is on the move");
+    }
+    const until = Math.max(
+      this.rangeBackoff.blockedUntil(range),
+      request.refusal?.server === range.server ? request.refusal.until : 0,
+    );
+    if (now < until) return transientWait("the key's server refused", until);
+    const server = fleet.get(range.server);
+    if (server === undefined) {
+      return openEndedWait("the key's server is gone");
+    }
+    if (now > keysServedUntil(server)) {
+      return transientWait("the key's server is leaving");
+    }
+    if (!this.context.cold.maySend(server, now)) {
+      return openEndedWait("the key's server is cold");
+    }
+    if (!hasCapacity(server, now, this.context.vms())) {
+      return openEndedWait("the key's server has no room");
+    }
+    return this.#checkRateLimit(request, server, now);
+  }
+
+  /** Sends a keyed request to its server if the server's rate limit permits. */
+  #checkRateLimit(
+    request: PendingRequest,
+    server: TrackedServer,
+    now: number,
+  ): DispatchPlan {
+    const { tokens } = this.context;
+    const admission = tokens.check(server, this.#isUrgent(request), now);
+    switch (admission.kind) {
+      case "ready":
+        return { kind: "server", server };
+      case "asked": {
+        const reason =
+          "a token for the key's server, which limits its requests";
+        return transientWait(reason, admission.until);
+      }
+      case "denied":
+        return rejection("the key's server limits its requests", true);
+    }
+  }
+}
+
+/** Time until which requests are sent to a server for its keys; Infinity for a server
+ * that is not leaving. */
+function keysServedUntil(
+  { drainingSince, evacuatedSince }: TrackedServer,
+): number {
+  return Math.min(
+    (drainingSince ?? Infinity) + DRAINING_KEY_GRACE,
+    (evacuatedSince ?? Infinity) + EVACUATED_KEY_GRACE,
+  );
+}
--- /dev/null
+++ b/src/core/dispatch/retry_after_policy.ts
@@ -0,0 +1,94 @@
+/**
+ * Computes the retry delay that a refused caller receives.
+ *
+ * A caller that waits for most of its timeout before it retries exceeds the target
+ * latency even if the next server is idle. A caller whose first attempt is refused early
+ * therefore receives a short delay, with which the response can still meet the target. A
+ * caller that was refused before receives a long one, after which the cause of the
+ * refusal has more likely passed. With long delays only, three of ten responses of a
+ * keyed service that shed half of its requests for 8 s were late just because of the
+ * delay.
+ *
+ * ```ts
+ * policy.recordTimeout(route, timeout);
+ * const delay = policy.delay(request, now); // milliseconds
+ * ```
+ *
+ * @module
+ */
+import type { Route } from "../catalog/index.ts";
+import type { DispatchContext } from "./dispatch_context.ts";
+import type { PendingRequest } from "./request.ts";
+
+/** Delay for a caller whose response cannot meet the target, as a share of its remaining
+ * time. Callers honour a delay of at most a third of it. */
+const LATE_RETRY_SHARE = 0.3;
+/** Delay for a caller whose response can meet the target, as a share of the slack. The
+ * rest is left for the network and for queueing. */
+const EARLY_RETRY_SHARE = 0.5;
+/** Minimum slack for a short delay, as a share of the target latency. With less the
+ * response would be late anyway. */
+const MINIMUM_SLACK_SHARE = 0.1;
+/** How much shorter than the longest timeout of its route the timeout of a caller's first
+ * attempt may be, as a share of the longest. */
+const FIRST_ATTEMPT_TOLERANCE = 0.05;
+/** Maximum random reduction of a delay, as a share of it, so that callers that were
+ * refused together do not retry together. */
+const JITTER = 0.3;
+/** Minimum delay, in milliseconds. */
+const MINIMUM_DELAY = 20;
+
+/** See the module's comment. */
+export class RetryAfterPolicy {
+  /** Longest timeout that callers of each route have sent, in milliseconds. It is the
+   * timeout of first attempts, since retries have less time left. */
+  readonly #longestTimeouts = new Map<string, number>();
+
+  private constructor(private readonly context: DispatchContext) {}
+
+  /** Creates a policy that knows no timeouts. */
+  static create(context: DispatchContext): RetryAfterPolicy {
+    return new RetryAfterPolicy(context);
+  }
+
+  /** Records the timeout that a caller of `route` sent, in milliseconds, or null. */
+  recordTimeout({ name }: Route, timeout: number | null): void {
+    if (timeout === null) return;
+    if (timeout > (this.#longestTimeouts.get(name) ?? 0)) {
+      this.#longestTimeouts.set(name, timeout);
+    }
+  }
+
+  /** Milliseconds after which the caller of a refused request should retry. */
+  delay(request: PendingRequest, now: number): number {
+    const canMeetTarget = this.#isFirstAttempt(request) && !request.isShed;
+    const delay = canMeetTarget
+      ? this.#earlyDelay(request, now) ?? lateDelay(request, now)
+      : lateDelay(request, now);
+    const jitter = 1 - JITTER * this.context.draw();
+    return Math.max(MINIMUM_DELAY, delay * jitter);
+  }
+
+  /** Delay with which a response can meet the target latency; null if none can. */
+  #earlyDelay(
+    { arrivedAt, service, route }: PendingRequest,
+    now: number,
+  ): number | null {
+    const meanLatency = this.context.fleet.usualLatency(service, now);
+    // Time that is left within the target for the delay, the network and queueing.
+    const slack = arrivedAt + route.targetLatency - now - meanLatency;
+    if (slack < MINIMUM_SLACK_SHARE * route.targetLatency) return null;
+    return slack * EARLY_RETRY_SHARE;
+  }
+
+  #isFirstAttempt({ arrival, route }: PendingRequest): boolean {
+    if (arrival.timeout === null) return false;
+    const longest = this.#longestTimeouts.get(route.name) ?? 0;
+    return arrival.timeout >= longest * (1 - FIRST_ATTEMPT_TOLERANCE);
+  }
+}
+
+/** Delay for a caller whose response cannot meet the target latency. */
+function lateDelay({ arrivedAt, arrival }: PendingRequest, now: number) {
+  return (arrivedAt + (arrival.timeout ?? 0) - now) * LATE_RETRY_SHARE;
+}
