--- a/src/core/exchange/crowding_watch.ts
+++ b/src/core/exchange/crowding_watch.ts
@@ -13,7 +13,7 @@
   limitsOf,
   type TermHolder,
 } from "../keyspace/index.ts";
-import { type Crowding, MAXIMUM_RATES } from "../peers/index.ts";
+import { MAXIMUM_RATES, type OverloadState } from "../peers/index.ts";
 
 /** Pause between looks, in milliseconds: half of that between two reports. */
 const INTERVAL = 250;
@@ -25,7 +25,7 @@
 
 /** See the module's comment. Times are milliseconds of this VM's clock. */
 export class CrowdingWatch {
-  #current: Crowding = { limits: [], loads: [], rates: [] };
+  #current: OverloadState = { limits: [], loads: [], rates: [] };
   #lookedAt = -Infinity;
 
   private constructor(
@@ -39,7 +39,7 @@
   }
 
   /** What was seen at the last look. */
-  get current(): Crowding {
+  get current(): OverloadState {
     return this.#current;
   }
 
@@ -76,7 +76,7 @@
     }
   }
 
-  #fullServers(service: string, now: number): Crowding["loads"] {
+  #fullServers(service: string, now: number): OverloadState["loads"] {
     return this.beliefs.fleet.of(service).flatMap((server) => {
       const stated = server.statedLoad(now);
       const least = server.entry.slots * TOLD_LOAD;
--- a/src/core/exchange/peer_exchange.ts
+++ b/src/core/exchange/peer_exchange.ts
@@ -14,7 +14,7 @@
   expandAssignment,
   FollowerLink,
   type HolderAddress,
-  type HolderWord,
+  type HolderState,
   type Knowledge,
   MAXIMUM_RATES,
   type MessageOf,
@@ -113,13 +113,14 @@
   /** Whether the term holder's word does for this VM's calls to the store: it only
    * observes, so nothing but news is of use to it. */
   isTold(now: number): boolean {
-    return this.campaign.isObserver && this.followerLink.isCurrent(now);
+    return this.campaign.isObserver &&
+      this.followerLink.isStoreStateCurrent(now);
   }
 
   /** A caller asked for a key: from here on assignments are needed. */
   keyAsked(service: string, key: number): void {
     this.#areKeysAsked = true;
-    this.followerLink.sample(service, key);
+    this.followerLink.sampleKey(service, key);
   }
 
   /** A server refused a key that it holds by what is known here. */
@@ -262,7 +263,7 @@
     this.#shareQuarantine(now);
     const { holder } = this.campaign;
     if (holder !== null) {
-      this.#vms.heard(this.#publication.vms(now), now);
+      this.#vms.observe(this.#publication.vms(now), now);
       return this.#publication.advance(holder, now);
     }
     const known = this.#reported(now);
@@ -350,9 +351,9 @@
     fleet.confirm((id) => registry.isListed(id), now);
   }
 
-  #hear(address: string, { vms, fittest }: HolderWord, now: number): void {
-    if (address === this.followerLink.holder) this.followerLink.heard(now);
-    this.#vms.heard(vms, now);
+  #hear(address: string, { vms, fittest }: HolderState, now: number): void {
+    if (address === this.followerLink.holder) this.followerLink.received(now);
+    this.#vms.observe(vms, now);
     this.campaign.hearFitness(fittest, now);
   }
 
@@ -365,7 +366,7 @@
     if (!isOfHolder || answersTo === undefined) return;
     // Reckoned from when this VM asked: the answer may be long on its way.
     const currentAt = answersTo - (storeSilence ?? Infinity);
-    this.followerLink.answered(answersTo, currentAt);
+    this.followerLink.reportAnswered(answersTo, currentAt);
     this.#quarantine.answered(address, answersTo);
     if (!this.store.vouched(currentAt, now)) return;
     this.beliefs.storeRegained(now);
--- a/src/core/exchange/quarantine_exchange.ts
+++ b/src/core/exchange/quarantine_exchange.ts
@@ -13,7 +13,7 @@
  * @module
  */
 import type { CrashRecord, Quarantine } from "../quarantine/index.ts";
-import type { QuarantineWord } from "../peers/index.ts";
+import type { QuarantineUpdate } from "../peers/index.ts";
 
 /** Silence after which a VM is not told unasked any more, in milliseconds: several of
  * its reports are missing. */
@@ -43,7 +43,7 @@
 /** A word to another VM. */
 export interface QuarantineSend {
   address: string;
-  word: QuarantineWord;
+  word: QuarantineUpdate;
 }
 
 /** A report that has not been answered. */
@@ -97,12 +97,12 @@
   }
 
   /** What a VM says that asks others for all that they know. */
-  get question(): QuarantineWord {
+  get question(): QuarantineUpdate {
     return { digest: this.quarantine.digest, records: [] };
   }
 
   /** The part of a report to the holder at an address that is sent now. */
-  report(holder: string, now: number): QuarantineWord {
+  report(holder: string, now: number): QuarantineUpdate {
     this.#follow(holder);
     const { revision } = this.quarantine;
     this.#reportedAt = now;
@@ -124,7 +124,7 @@
   /** Takes another VM's word; returns the answer to it, if it lacks something. */
   receive(
     address: string,
-    { digest, records }: QuarantineWord,
+    { digest, records }: QuarantineUpdate,
     now: number,
   ): QuarantineSend | null {
     this.quarantine.merge(records, now, address);
@@ -196,7 +196,7 @@
     since: number,
     now: number,
     address: string | null = null,
-  ): QuarantineWord {
+  ): QuarantineUpdate {
     const records: CrashRecord[] = this.quarantine.changesSince(
       since,
       now,
--- a/src/core/exchange/state_exchange.ts
+++ b/src/core/exchange/state_exchange.ts
@@ -8,7 +8,7 @@
 import {
   type HolderAddress,
   type MessageOf,
-  type QuarantineWord,
+  type QuarantineUpdate,
   StateRequest,
 } from "../peers/index.ts";
 import type { StoreHealth } from "../store_health.ts";
@@ -38,7 +38,11 @@
   }
 
   /** Sends the requests that are due. `question` is their quarantine part. */
-  advance(question: QuarantineWord, holder: string | null, now: number): void {
+  advance(
+    question: QuarantineUpdate,
+    holder: string | null,
+    now: number,
+  ): void {
     const requests = this.#request.advance(
       now,
       this.beliefs.knowledge(),
--- a/src/core/exchange/term_publication.ts
+++ b/src/core/exchange/term_publication.ts
@@ -14,11 +14,11 @@
 import type { KeyLoads, TermCampaign, TermHolder } from "../keyspace/index.ts";
 import {
   type AssignmentChanges,
-  type Bulletin,
+  type AssignmentSnapshot,
+  type FollowerReport,
   type HolderAddress,
   HolderLink,
-  type HolderWord,
-  type KeyReport,
+  type HolderState,
   MessagePacing,
   type PeerSend,
 } from "../peers/index.ts";
@@ -56,7 +56,7 @@
   readonly #assignmentPacing = MessagePacing.create();
   readonly #configurationPacing = MessagePacing.create();
   /** Reports that came while changes waited to be published. */
-  readonly #owed = new Map<string, KeyReport>();
+  readonly #owed = new Map<string, FollowerReport>();
 
   private constructor(
     private readonly beliefs: Beliefs,
@@ -81,14 +81,14 @@
 
   /** Number of VMs that are heard, this one included. */
   vms(now: number): number {
-    return this.#link.vms(now);
+    return this.#link.vmCount(now);
   }
 
   /** Tells those that leave the store's news to this VM, if it was the holder, who
    * is now: they would miss it for as long as they take to find this one silent. */
   tellSuccessor(holder: HolderAddress): PeerSend[] {
     const knowledge = this.beliefs.knowledge();
-    return this.#link.tellSuccessor(knowledge, holder);
+    return this.#link.announceSuccessor(knowledge, holder);
   }
 
   /** Tells all followers what has changed. */
@@ -96,7 +96,7 @@
     this.#publishRegistry();
     this.#crowding.advance(holder, now);
     if (!this.#isPublished(holder)) this.beliefs.assign(holder.assignments);
-    const isDue = now >= this.#publishedAt + this.#link.pause;
+    const isDue = now >= this.#publishedAt + this.#link.publishInterval;
     if (isDue) this.#publish(holder, now);
   }
 
@@ -104,7 +104,7 @@
   reported(
     holder: TermHolder,
     address: string,
-    report: KeyReport,
+    report: FollowerReport,
     now: number,
   ): void {
     for (const { service, keys } of report.samples) {
@@ -113,10 +113,10 @@
     this.#observe(report, now);
     this.beliefs.hearRates(report.rates ?? [], now);
     this.campaign.hearFitness(report.fitness, now);
-    this.#link.heard(address, report.isTold ?? false, now);
+    this.#link.reportReceived(address, report.isTold ?? false, now);
     const news = this.#news(report, now);
     this.emit(
-      this.#link.confirm(
+      this.#link.answerReport(
         address,
         this.#word(now),
         news,
@@ -131,7 +131,7 @@
 
   /** Takes what a follower measured of the runs that are listed here; by its
    * position it may know an older run of some server. */
-  #observe({ latencies, position }: KeyReport, now: number): void {
+  #observe({ latencies, position }: FollowerReport, now: number): void {
     const { fleet, registry } = this.beliefs;
     const isOfSameRun = ({ server }: ServerSamples) =>
       registry.runSince(server) <= (position ?? 0);
@@ -141,7 +141,11 @@
   /** Tells a follower the configuration if it lacks it: at once where it leaves
    * the store's news to the holder, else once a read of its own would have brought
    * it, since the call that waits for news may have lost its answer. */
-  #tellConfiguration(address: string, report: KeyReport, now: number): void {
+  #tellConfiguration(
+    address: string,
+    report: FollowerReport,
+    now: number,
+  ): void {
     const { configuration, version } = this.beliefs.catalog;
     if (version !== this.#configuration.version) {
       this.#configuration = { version, since: now };
@@ -153,14 +157,14 @@
     const pacing = this.#configurationPacing;
     if (!pacing.maySend(address, version, sentAt, now)) return;
     const knowledge = this.beliefs.knowledge(this.#published);
-    this.emit(this.#link.tellConfiguration(address, knowledge, configuration));
+    this.emit(this.#link.sendConfiguration(address, knowledge, configuration));
   }
 
   /** Tells a follower what it has missed, if anything. */
   #catchUp(
     holder: TermHolder,
     address: string,
-    report: KeyReport,
+    report: FollowerReport,
     now: number,
   ): void {
     const { term, version } = report;
@@ -174,7 +178,7 @@
       this.#tellAll(holder, address, report, now);
     } else if (now - next.publishedAt > IN_FLIGHT) {
       const changes = this.#changesSince(holder, this.#marks[index]);
-      this.emit(this.#link.tellChanges(address, this.#word(now), changes));
+      this.emit(this.#link.sendChanges(address, this.#word(now), changes));
     }
   }
 
@@ -182,12 +186,12 @@
   #tellAll(
     holder: TermHolder,
     address: string,
-    { sentAt }: KeyReport,
+    { sentAt }: FollowerReport,
     now: number,
   ): void {
     const { term } = holder;
     if (!this.#assignmentPacing.maySend(address, term, sentAt, now)) return;
-    this.emit(this.#link.tell(address, this.#bulletin(holder, now)));
+    this.emit(this.#link.sendAssignments(address, this.#bulletin(holder, now)));
   }
 
   #isPublished({ term, version }: TermHolder): boolean {
@@ -203,7 +207,7 @@
     this.#publishedAt = now;
     if (last === undefined) {
       this.#marks = [];
-      this.emit(...this.#link.publish(this.#bulletin(holder, now)));
+      this.emit(...this.#link.publishAssignments(this.#bulletin(holder, now)));
     } else {
       const changes = this.#changesSince(holder, last);
       this.emit(...this.#link.publishChanges(this.#word(now), changes));
@@ -238,7 +242,10 @@
   }
 
   /** What the sender of a report does not know of the registry. */
-  #news({ position, sentAt }: KeyReport, now: number): RegistryNews | null {
+  #news(
+    { position, sentAt }: FollowerReport,
+    now: number,
+  ): RegistryNews | null {
     const { registry } = this.beliefs;
     if (position === null) return null;
     // Older than this answer by the age of what is known here; the follower
@@ -246,7 +253,7 @@
     return registry.news(position, sentAt - (now - registry.knownAt));
   }
 
-  #word(now: number): HolderWord {
+  #word(now: number): HolderState {
     return {
       ...this.beliefs.knowledge(this.#published),
       vms: this.vms(now),
@@ -255,7 +262,7 @@
     };
   }
 
-  #bulletin(holder: TermHolder, now: number): Bulletin {
-    return { word: this.#word(now), assignments: holder.assignments };
+  #bulletin(holder: TermHolder, now: number): AssignmentSnapshot {
+    return { holderState: this.#word(now), assignments: holder.assignments };
   }
 }
--- a/src/core/exchange/term_publication_test.ts
+++ b/src/core/exchange/term_publication_test.ts
@@ -10,7 +10,7 @@
   TermCampaign,
   TermHolder,
 } from "../keyspace/index.ts";
-import type { KeyReport } from "../peers/index.ts";
+import type { FollowerReport } from "../peers/index.ts";
 import { StoreHealth } from "../store_health.ts";
 import { TermPublication } from "./term_publication.ts";
 
@@ -37,7 +37,7 @@
     StoreHealth.create(),
     (...some) => effects.push(...some),
   );
-  const report = (version: number): KeyReport => ({
+  const report = (version: number): FollowerReport => ({
     kind: "keys.asked",
     term: version === 0 ? 0 : 1,
     version,
--- a/src/core/peers/shared_assignment.ts
+++ b/src/core/peers/compact_assignment.ts
@@ -1,17 +1,17 @@
 /**
- * Turns assignments into their short form between processes and back.
+ * Converts assignments to the compact form used in messages between VMs, and back.
  *
  * @module
  */
 import type { Assignment } from "../keyspace/index.ts";
-import type { SharedAssignment } from "./peer_message.ts";
+import type { CompactAssignment } from "./peer_message.ts";
 
-/** Index that stands for no server. */
+/** Index of a range that is assigned to no server. */
 const NO_SERVER = -1;
 
-/** The short form of an assignment. */
-export function shareAssignment(assignment: Assignment): SharedAssignment {
-  const servers: SharedAssignment["servers"] = [];
+/** Returns the compact form of an assignment. */
+export function compactAssignment(assignment: Assignment): CompactAssignment {
+  const servers: CompactAssignment["servers"] = [];
   const indexes = new Map<string, number>();
   const ranges = assignment.ranges.map(
     (range): [number, number, number, boolean] => {
@@ -28,9 +28,9 @@
   return { service: assignment.service, servers, ranges };
 }
 
-/** The assignment of a short form. */
+/** Restores an assignment from its compact form. */
 export function expandAssignment(
-  { service, servers, ranges }: SharedAssignment,
+  { service, servers, ranges }: CompactAssignment,
   term: number,
   version: number,
 ): Assignment {
--- a/src/core/peers/follower_link.ts
+++ b/src/core/peers/follower_link.ts
@@ -1,212 +1,225 @@
 /**
- * How a VM that does not hold the term stays in touch with the one that does.
+ * The connection of a VM that does not hold the term to the VM that does.
  *
- * It reports the keys that it was asked for and gets every change of the
- * assignments at once. Where it sees that it has missed some it reports at once,
- * and again until that is answered: a connection may have died unseen. While the
- * holder does not answer it asks for what the store has recorded instead.
+ * The follower sends the term holder regular reports on the keys requested from it and
+ * receives every change of the key assignments as soon as it is made. If it detects that
+ * it missed a change it sends a report immediately and repeats it until it is answered,
+ * because a connection can fail without an error. While the holder does not answer, the
+ * follower requests the assignments recorded in the store instead.
  *
  * @module
  */
 import type { ServerRate, ServerSamples } from "../fleet/index.ts";
-import type { KeyReport, Knowledge, PeerSend } from "./peer_message.ts";
+import type { FollowerReport, Knowledge, PeerSend } from "./peer_message.ts";
 
-/** Pause between reports, in milliseconds: how late a busy key is noticed, and
- * how old the holder's word about the registry gets. Half of it moved busy keys
- * no better and cost a tenth of the processor time of a quiet VM. */
+/** Time between two reports, in milliseconds. It limits how soon a busy key is noticed
+ * and how old the registry data received from the holder can be. With half of it, busy
+ * keys moved no sooner and an idle VM used a tenth more processor time. */
 const REPORT_INTERVAL = 500;
-/** The same while what is known here seems out of date, until the holder has
- * answered; doubles with each report that it does not answer. */
-const URGENT_INTERVAL = 60;
-/** VMs whose first reports a new holder answers without delay. */
-const ANSWERED_AT_ONCE = 20;
-/** Time over which the first reports of more VMs are spread, in milliseconds for
- * each: the holder takes connections one at a time, and answers each with all
+/** Initial time between two reports while local state appears out of date, in
+ * milliseconds. Doubles with each unanswered report. */
+const URGENT_REPORT_INTERVAL = 60;
+/** Number of first reports that a new holder can answer immediately. */
+const IMMEDIATE_REPORTS = 20;
+/** Time over which the first reports of all further VMs are spread, in milliseconds per
+ * VM. The holder accepts connections one at a time and answers each first report with all
  * assignments. */
-const SPREAD_PER_VM = 3;
-/** Silence of the holder after which the record is read, in milliseconds. */
-const HOLDER_SILENCE = 1_600;
-/** The same for a holder that has not been heard at all: after a loss of all VMs
- * the announced one is gone, and the record says where the keys were. */
-const FIRST_SILENCE = 60;
-/** Pause between reads of the record, in milliseconds: each is paid for. */
+const REPORT_SPREAD_PER_VM = 3;
+/** Time without a message from the holder after which the assignments are fetched from
+ * the store, in milliseconds. */
+const HOLDER_TIMEOUT = 1_600;
+/** The same for a process that has never received a message from any holder. After a
+ * failure of all VMs the announced holder no longer exists, and the store has the last
+ * assignments. */
+const FIRST_CONTACT_TIMEOUT = 60;
+/** Minimum time between two fetches from the store, in milliseconds. Reads are billed. */
 const FETCH_INTERVAL = 1_000;
-/** Age of what the holder knows of the store up to which its word does for an own
- * call, in milliseconds: its answer to the last report, up to half a second ago,
- * and the age of its own last answered call then. A store that the holder has lost
- * is asked after this time, which leaves a second for a configuration that must be
- * in force within 2.5 s. */
-const CURRENT_AGE = 1_500;
-/** Keys of one report for each service; a sample of more is as good. */
-const MAXIMUM_KEYS = 128;
-
-/** Asks for what the store has recorded. */
+/** Maximum age of the holder's view of the store with which this VM does without its own
+ * calls to the store, in milliseconds. The age consists of the time since the last
+ * answered report, up to half a second, and the time since the holder's last answered
+ * store call. If the holder loses the store, this VM calls it after this time, which
+ * leaves a second to apply a configuration that must be in force within 2.5 s. */
+const MAXIMUM_STORE_AGE = 1_500;
+/** Maximum number of keys per service in one report. More keys would not make the sample
+ * more accurate. */
+const MAXIMUM_SAMPLED_KEYS = 128;
+
+/** Requests the assignments recorded in the store. */
 export interface AssignmentFetch {
   kind: "assignments.fetch";
 }
 
-/** A report that cannot wait. */
+/** A report that is sent before the regular interval has passed. */
 interface UrgentReport {
-  /** When it was sent first; Infinity before that. */
+  /** When it was first sent; Infinity before that. */
   sentAt: number;
-  /** Least time after the report before, in milliseconds. */
-  pause: number;
+  /** Minimum time since the previous report, in milliseconds. */
+  interval: number;
 }
 
-/** See the module's comment. */
+/** See the module's comment. Times are milliseconds of this VM's clock. */
 export class FollowerLink {
   #holder: string | null = null;
-  #heardAt = -Infinity;
-  /** When the holder was in touch with the store at the latest, as far as known. */
-  #currentAt = -Infinity;
-  #followsSince = -Infinity;
+  #receivedAt = -Infinity;
+  /** Latest time at which the holder is known to have been in contact with the store. */
+  #storeContactAt = -Infinity;
+  #followedSince = -Infinity;
   #reportedAt = -Infinity;
   #fetchedAt = -Infinity;
-  #urgent: UrgentReport | null = null;
+  #urgentReport: UrgentReport | null = null;
   readonly #samples = new Map<string, number[]>();
 
   private constructor(private readonly fitness: number) {}
 
-  /** A link of a VM of this fitness to a holder that is not known yet. */
+  /** Creates a link without a holder. `fitness` is that of this VM. */
   static create(fitness: number): FollowerLink {
     return new FollowerLink(fitness);
   }
 
-  /** Time since the holder was heard, in milliseconds. */
+  /** Time since the last message from the holder, in milliseconds. */
   silence(now: number): number {
-    return now - this.#heardAt;
+    return now - this.#receivedAt;
   }
 
-  /** The holder's address, or null. */
+  /** Address of the term holder, or null if there is none or it is this VM. */
   get holder(): string | null {
     return this.#holder;
   }
 
-  /** Another VM holds the term now, or this one itself (null). All VMs hear of it
-   * in the same moment: `chance`, in [0, 1), spreads their first reports, of which
-   * there are as many as there are VMs, and with them all that follow. */
+  /** Follows a new term holder; `address` is null if it is this VM. All VMs learn of a
+   * new holder at the same time, so `chance`, in [0, 1), spreads their first reports and,
+   * with them, all later ones. */
   follow(
     address: string | null,
-    vms: number | null,
+    vmCount: number | null,
     chance: number,
     now: number,
   ): void {
     if (address === this.#holder) return;
     this.#holder = address;
-    const many = Math.max(0, (vms ?? 0) - ANSWERED_AT_ONCE);
-    const spread = Math.min(REPORT_INTERVAL, many * SPREAD_PER_VM);
+    const delayedVms = Math.max(0, (vmCount ?? 0) - IMMEDIATE_REPORTS);
+    const spread = Math.min(REPORT_INTERVAL, delayedVms * REPORT_SPREAD_PER_VM);
     this.#reportedAt = now - REPORT_INTERVAL + spread * chance;
-    this.#followsSince = now;
+    this.#followedSince = now;
   }
 
-  /** The holder was heard. */
-  heard(now: number): void {
-    this.#heardAt = now;
+  /** Records a message from the holder. */
+  received(now: number): void {
+    this.#receivedAt = now;
   }
 
-  /** What is known here seems out of date. */
+  /** Makes a report due soon because local state appears out of date. */
   outdated(): void {
-    this.#urgent ??= { sentAt: Infinity, pause: URGENT_INTERVAL };
+    this.#urgentReport ??= {
+      sentAt: Infinity,
+      interval: URGENT_REPORT_INTERVAL,
+    };
   }
 
-  /** Whether the holder's word does for calls to the store. */
-  isCurrent(now: number): boolean {
-    return this.#holder !== null && now - this.#currentAt <= CURRENT_AGE;
+  /** Whether the holder's view of the store is recent enough to replace this VM's own
+   * calls to the store. */
+  isStoreStateCurrent(now: number): boolean {
+    return this.#holder !== null &&
+      now - this.#storeContactAt <= MAXIMUM_STORE_AGE;
   }
 
-  /** The holder has answered the report that was sent at `sentAt`; its store had
-   * answered it at `currentAt` at the latest, by this VM's clock. */
-  answered(sentAt: number, currentAt: number): void {
-    this.#currentAt = Math.max(this.#currentAt, currentAt);
-    if (this.#urgent !== null && sentAt >= this.#urgent.sentAt) {
-      this.#urgent = null;
+  /** Records the holder's answer to the report sent at `sentAt`. `storeContactAt` is the
+   * latest time at which the holder is known to have been in contact with the store.
+   * Both are times of this VM's clock. */
+  reportAnswered(sentAt: number, storeContactAt: number): void {
+    this.#storeContactAt = Math.max(this.#storeContactAt, storeContactAt);
+    if (this.#urgentReport !== null && sentAt >= this.#urgentReport.sentAt) {
+      this.#urgentReport = null;
     }
   }
 
   /** Whether a report to the holder is due. */
   isReportDue(now: number): boolean {
-    const pause = this.#urgent?.pause ?? REPORT_INTERVAL;
-    return now - this.#reportedAt >= pause;
+    const interval = this.#urgentReport?.interval ?? REPORT_INTERVAL;
+    return now - this.#reportedAt >= interval;
   }
 
-  /** When a report is due that cannot wait, or the first one to a new holder;
-   * Infinity without one. */
+  /** When an urgent report or the first report to a new holder is due; Infinity if
+   * neither is. */
   nextAt(): number {
     if (this.#holder === null) return Infinity;
-    const isFirst = this.#reportedAt < this.#followsSince;
-    const pause = this.#urgent?.pause ?? (isFirst ? REPORT_INTERVAL : Infinity);
-    return this.#reportedAt + pause;
+    const isFirst = this.#reportedAt < this.#followedSince;
+    const interval = this.#urgentReport?.interval ??
+      (isFirst ? REPORT_INTERVAL : Infinity);
+    return this.#reportedAt + interval;
   }
 
-  /** A key was asked for. */
-  sample(service: string, key: number): void {
+  /** Records that a key was requested. */
+  sampleKey(service: string, key: number): void {
     const keys = this.#samples.get(service) ?? [];
-    if (keys.length < MAXIMUM_KEYS) keys.push(key);
+    if (keys.length < MAXIMUM_SAMPLED_KEYS) keys.push(key);
     this.#samples.set(service, keys);
   }
 
   /**
-   * Takes all steps that are due. `position` is up to where the registry is
-   * known, `latencies` what was measured since the last report, `rates` the rate
-   * limits stated since the last report; `mayFetch` when assignments are needed and
-   * the store answers, `isTold` while the store's news are left to the holder.
+   * Returns the effects that are due. `position` is the registry position known here.
+   * `latencies` and `rates` are the latencies and the rate limits collected since the
+   * last report. `mayFetch` is true if assignments are needed and the store answers.
+   * `hasHolderUpdates` is true while this VM receives store updates from the holder.
    */
   advance(
     now: number,
-    known: Knowledge,
+    senderState: Knowledge,
     position: number | null,
     latencies: readonly ServerSamples[],
     mayFetch: boolean,
-    isTold: boolean,
+    hasHolderUpdates: boolean,
     rates: readonly ServerRate[] = [],
   ): (PeerSend | AssignmentFetch)[] {
     const effects: (PeerSend | AssignmentFetch)[] = [];
     if (this.#holder !== null && this.isReportDue(now)) {
-      this.#reported(now);
-      const report = this.#report(known, position, latencies, now);
-      const stated = rates.length > 0 ? { rates: [...rates] } : {};
-      const message = { ...report, isTold, ...stated };
+      this.#recordReport(now);
+      const report = this.#createReport(senderState, position, latencies, now);
+      const statedRates = rates.length > 0 ? { rates: [...rates] } : {};
+      const message = { ...report, isTold: hasHolderUpdates, ...statedRates };
       effects.push({ kind: "peer.send", address: this.#holder, message });
     }
     const isFetchDue = now - this.#fetchedAt >= FETCH_INTERVAL;
-    if (mayFetch && isFetchDue && this.#isHolderSilent(now)) {
+    if (mayFetch && isFetchDue && this.#hasHolderTimedOut(now)) {
       this.#fetchedAt = now;
       effects.push({ kind: "assignments.fetch" });
     }
     return effects;
   }
 
-  #reported(now: number): void {
+  #recordReport(now: number): void {
     this.#reportedAt = now;
-    const urgent = this.#urgent;
+    const urgent = this.#urgentReport;
     if (urgent === null) return;
     if (urgent.sentAt === Infinity) urgent.sentAt = now;
-    else urgent.pause = Math.min(REPORT_INTERVAL, urgent.pause * 2);
+    else urgent.interval = Math.min(REPORT_INTERVAL, urgent.interval * 2);
   }
 
-  /** Whether a holder was announced that does not answer. */
-  #isHolderSilent(now: number): boolean {
-    const isUnheard = this.#heardAt < this.#followsSince;
-    const since = isUnheard ? this.#followsSince : this.#heardAt;
-    const patience = this.#heardAt === -Infinity
-      ? FIRST_SILENCE
-      : HOLDER_SILENCE;
-    return since > -Infinity && now - since >= patience;
+  /** Whether the announced holder has sent nothing for too long. */
+  #hasHolderTimedOut(now: number): boolean {
+    const isAwaitingFirstMessage = this.#receivedAt < this.#followedSince;
+    const since = isAwaitingFirstMessage
+      ? this.#followedSince
+      : this.#receivedAt;
+    const timeout = this.#receivedAt === -Infinity
+      ? FIRST_CONTACT_TIMEOUT
+      : HOLDER_TIMEOUT;
+    return since > -Infinity && now - since >= timeout;
   }
 
-  #report(
-    known: Knowledge,
+  #createReport(
+    senderState: Knowledge,
     position: number | null,
     latencies: readonly ServerSamples[],
     now: number,
-  ): KeyReport {
+  ): FollowerReport {
     const samples = [...this.#samples]
       .map(([service, keys]) => ({ service, keys }));
     this.#samples.clear();
     const { fitness } = this;
     return {
       kind: "keys.asked",
-      ...known,
+      ...senderState,
       samples,
       latencies: [...latencies],
       position,
--- a/src/core/peers/holder_link.ts
+++ b/src/core/peers/holder_link.ts
@@ -1,5 +1,5 @@
 /**
- * The term holder's messages to the VMs that follow it.
+ * The term holder's messages to its followers.
  *
  * @module
  */
@@ -9,98 +9,104 @@
 import type { RegistryNews } from "../registry/index.ts";
 import type {
   HolderAddress,
-  HolderWord,
+  HolderState,
   Knowledge,
   MessageOf,
   PeerMessage,
   PeerSend,
 } from "./peer_message.ts";
-import { shareAssignment } from "./shared_assignment.ts";
+import { compactAssignment } from "./compact_assignment.ts";
 
-/** Silence after which a VM counts as gone, in milliseconds: several of its
+/** Time without a report after which a follower counts as gone, in milliseconds: several
  * reports are missing. */
-const FOLLOWER_SILENCE = 3_000;
+const FOLLOWER_TIMEOUT = 3_000;
 
-/** Messages with changes that a holder sends at most: with 10 followers it may
- * publish every 7 ms, with 73 every 49 ms, well within the 110 ms or more that
- * requests wait for keys on the move. */
-const MESSAGES_PER_MILLISECOND = 1.5;
+/** Maximum number of assignment changes sent per millisecond, over all followers. With
+ * 10 followers the holder can publish every 7 ms, with 73 every 49 ms. Requests for
+ * moving keys wait for 110 ms or more. */
+const MAXIMUM_MESSAGE_RATE = 1.5;
 
-/** All that a holder tells of the assignments. */
-export interface Bulletin {
-  word: HolderWord;
+/** All assignments of the holder's term. */
+export interface AssignmentSnapshot {
+  holderState: HolderState;
   assignments: readonly Assignment[];
 }
 
-/** Servers that hold keys and cannot do all that is asked of them. */
-export interface Crowding {
+/** Servers that cannot handle all requests meant for them. */
+export interface OverloadState {
   limits: readonly KeyLimit[];
   loads: readonly ServerLoad[];
-  /** Rate limits of servers of all services, including those that ended recently. */
+  /** Rate limits of servers of all services, including recently stopped ones. */
   rates: readonly ServerRate[];
 }
 
-/** What has changed of the assignments after a version. */
+/** Assignments that changed after version `since`. */
 export interface AssignmentChanges {
   since: number;
   assignments: readonly Assignment[];
 }
 
-/** See the module's comment. */
+/** See the module's comment. Times are milliseconds of this VM's clock. */
 export class HolderLink {
-  readonly #heardAt = new Map<string, number>();
-  /** Followers that leave the store's news to this VM. */
-  readonly #told = new Set<string>();
-  /** The message with the configuration, which is encoded once for all. */
-  #configuration: MessageOf<"configuration.told"> | null = null;
+  readonly #reportedAt = new Map<string, number>();
+  /** Followers that receive store updates from this VM instead of the store. */
+  readonly #updateReceivers = new Set<string>();
+  /** The configuration message. The same object is sent to all followers so that it is
+   * encoded only once. */
+  #configurationMessage: MessageOf<"configuration.told"> | null = null;
 
   private constructor() {}
 
-  /** A link without followers. */
+  /** Creates a link without followers. */
   static create(): HolderLink {
     return new HolderLink();
   }
 
-  /** Number of VMs, this one included. */
-  vms(now: number): number {
-    for (const [address, heardAt] of this.#heardAt) {
-      if (now - heardAt > FOLLOWER_SILENCE) this.#forget(address);
+  /** Number of live VMs, including this one. */
+  vmCount(now: number): number {
+    for (const [address, reportedAt] of this.#reportedAt) {
+      if (now - reportedAt > FOLLOWER_TIMEOUT) this.#forget(address);
     }
-    return this.#heardAt.size + 1;
+    return this.#reportedAt.size + 1;
   }
 
-  /** A follower reported, which leaves the store's news to this VM or not. */
-  heard(address: string, isTold: boolean, now: number): void {
-    this.#heardAt.set(address, now);
-    if (isTold) this.#told.add(address);
-    else this.#told.delete(address);
+  /** Records a follower's report. `hasHolderUpdates` is true if the follower receives
+   * store updates from this VM. */
+  reportReceived(
+    address: string,
+    hasHolderUpdates: boolean,
+    now: number,
+  ): void {
+    this.#reportedAt.set(address, now);
+    if (hasHolderUpdates) this.#updateReceivers.add(address);
+    else this.#updateReceivers.delete(address);
   }
 
   #forget(address: string): void {
-    this.#heardAt.delete(address);
-    this.#told.delete(address);
+    this.#reportedAt.delete(address);
+    this.#updateReceivers.delete(address);
   }
 
   /**
-   * Pause between two publications, in milliseconds, so that the messages of a
-   * holder with many followers stay within what its VM can send.
+   * Minimum time between two publications, in milliseconds. Keeps the messages to many
+   * followers within what the holder's VM can send.
    */
-  get pause(): number {
-    return this.#heardAt.size / MESSAGES_PER_MILLISECOND;
+  get publishInterval(): number {
+    return this.#reportedAt.size / MAXIMUM_MESSAGE_RATE;
   }
 
-  /** Answers the report that a follower sent at `answersTo`, by its clock: the
-   * holder lives, with news of the registry and of crowded servers. */
-  confirm(
+  /** Answers the report that a follower sent at `answersTo` by its own clock, with
+   * registry changes and the servers that are overloaded. */
+  answerReport(
     address: string,
-    word: HolderWord,
+    holderState: HolderState,
     registry: RegistryNews | null,
-    { limits, loads, rates }: Crowding,
+    { limits, loads, rates }: OverloadState,
     answersTo: number,
   ): PeerSend {
     const message: PeerMessage = {
       kind: "holder.alive",
-      ...word,
+      ...holderState,
       registry,
       answersTo,
       ...(limits.length > 0 ? { limits: [...limits] } : {}),
@@ -110,60 +116,63 @@
     return { kind: "peer.send", address, message };
   }
 
-  /** Tells a follower the configuration in force. */
-  tellConfiguration(
+  /** Sends a follower the configuration in force. */
+  sendConfiguration(
     address: string,
-    knowledge: Knowledge,
+    senderState: Knowledge,
     told: Configuration,
   ): PeerSend {
-    const message = this.#configuration?.told === told
-      ? this.#configuration
-      : { kind: "configuration.told" as const, ...knowledge, told };
-    this.#configuration = message;
+    const message = this.#configurationMessage?.told === told
+      ? this.#configurationMessage
+      : { kind: "configuration.told" as const, ...senderState, told };
+    this.#configurationMessage = message;
     return { kind: "peer.send", address, message };
   }
 
-  /** Tells a follower everything. */
-  tell(address: string, bulletin: Bulletin): PeerSend {
-    return { kind: "peer.send", address, message: assignmentsTold(bulletin) };
+  /** Sends a follower all assignments. */
+  sendAssignments(address: string, snapshot: AssignmentSnapshot): PeerSend {
+    return { kind: "peer.send", address, message: assignmentsTold(snapshot) };
   }
 
-  /** Tells a follower what it has missed. */
-  tellChanges(
+  /** Sends a follower the changes that it missed. */
+  sendChanges(
     address: string,
-    word: HolderWord,
+    holderState: HolderState,
     changes: AssignmentChanges,
   ): PeerSend {
-    const message = assignmentsChanged(word, changes);
+    const message = assignmentsChanged(holderState, changes);
     return { kind: "peer.send", address, message };
   }
 
-  /** Tells all followers everything. */
-  publish(bulletin: Bulletin): PeerSend[] {
-    return this.#sendToAll(assignmentsTold(bulletin));
+  /** Sends all assignments to all followers. */
+  publishAssignments(snapshot: AssignmentSnapshot): PeerSend[] {
+    return this.#sendToAll(assignmentsTold(snapshot));
   }
 
-  /** Tells all followers what has changed. */
-  publishChanges(word: HolderWord, changes: AssignmentChanges): PeerSend[] {
-    return this.#sendToAll(assignmentsChanged(word, changes));
+  /** Sends changes of the assignments to all followers. */
+  publishChanges(
+    holderState: HolderState,
+    changes: AssignmentChanges,
+  ): PeerSend[] {
+    return this.#sendToAll(assignmentsChanged(holderState, changes));
   }
 
-  /** Tells all followers what has changed in the registry. */
-  publishRegistry(knowledge: Knowledge, registry: RegistryNews): PeerSend[] {
-    return this.#sendToAll({ kind: "servers.told", ...knowledge, registry });
+  /** Sends changes of the registry to all followers. */
+  publishRegistry(senderState: Knowledge, registry: RegistryNews): PeerSend[] {
+    return this.#sendToAll({ kind: "servers.told", ...senderState, registry });
   }
 
-  /** Tells the followers that leave the store's news to this VM that another one
-   * holds the term now; nobody follows this one any more. */
-  tellSuccessor(knowledge: Knowledge, holder: HolderAddress): PeerSend[] {
+  /** Sends the address of the new term holder to the followers that receive store updates
+   * from this VM, and forgets all followers. */
+  announceSuccessor(senderState: Knowledge, holder: HolderAddress): PeerSend[] {
     const message: PeerMessage = {
       kind: "holder.changed",
-      ...knowledge,
+      ...senderState,
       holder,
     };
-    const followers = [...this.#told];
-    this.#heardAt.clear();
-    this.#told.clear();
+    const followers = [...this.#updateReceivers];
+    this.#reportedAt.clear();
+    this.#updateReceivers.clear();
     return followers.map((address) => ({
       kind: "peer.send",
       address,
@@ -172,23 +181,25 @@
   }
 
   #sendToAll(message: PeerMessage): PeerSend[] {
-    return [...this.#heardAt.keys()]
+    return [...this.#reportedAt.keys()]
       .map((address) => ({ kind: "peer.send", address, message }));
   }
 }
 
-function assignmentsTold({ word, assignments }: Bulletin): PeerMessage {
+function assignmentsTold(
+  { holderState, assignments }: AssignmentSnapshot,
+): PeerMessage {
   return {
     kind: "assignments.told",
-    ...word,
-    assignments: assignments.map(shareAssignment),
+    ...holderState,
+    assignments: assignments.map(compactAssignment),
   };
 }
 
 function assignmentsChanged(
-  word: HolderWord,
+  holderState: HolderState,
   { since, assignments }: AssignmentChanges,
 ): PeerMessage {
-  const changes = assignments.map(shareAssignment);
-  return { kind: "assignments.changed", ...word, since, changes };
+  const changes = assignments.map(compactAssignment);
+  return { kind: "assignments.changed", ...holderState, since, changes };
 }
--- a/src/core/peers/message_pacing.ts
+++ b/src/core/peers/message_pacing.ts
@@ -1,21 +1,22 @@
 /**
- * Paces large messages to followers. One that is on its way, behind a small link or
- * a busy holder, is not sent again with each report of a follower that still lacks
- * it: copies would keep the link full, and the follower would take the holder,
- * whose answers wait behind them, for lost.
+ * Limits how often large messages are repeated to followers. While a message is in
+ * transit, delayed by a slow link or a busy holder, it is not sent again for every report
+ * of a follower that still lacks it. Copies would keep the link full, and the follower
+ * would conclude that the holder has failed, because the holder's answers queue behind
+ * them.
  *
  * @module
  */
 
-/** Time after which a follower that still lacks what it was told is told it again,
- * in milliseconds. A connection that died costs a follower this long. */
-const REPEAT_PAUSE = 900;
+/** Time after which a message is sent again to a follower that still lacks it, in
+ * milliseconds. This is how long a failed connection delays a follower. */
+const RESEND_DELAY = 900;
 
 interface SentMessage {
   version: number;
-  at: number;
-  /** When the follower sent the report that this answered, by its own clock. */
   sentAt: number;
+  /** When the follower sent the answered report, by its own clock. */
+  reportSentAt: number;
 }
 
 /** See the module's comment. Times are milliseconds of this VM's clock. */
@@ -24,27 +25,28 @@
 
   private constructor() {}
 
-  /** Nobody was sent anything. */
+  /** Creates an instance that has sent no messages. */
   static create(): MessagePacing {
     return new MessagePacing();
   }
 
   /**
-   * Whether a follower that reported at `sentAt`, by its own clock, is sent this
-   * version now; from then on it counts as sent. A process that has started anew,
-   * whose clock begins again, has not got what was sent before.
+   * Returns whether to send `version` now to a follower whose report was sent at
+   * `reportSentAt` by its own clock, and if so records it as sent. A `reportSentAt`
+   * before the last one means that the follower's process has restarted and lacks what
+   * was sent previously.
    */
   maySend(
     address: string,
     version: number,
-    sentAt: number,
+    reportSentAt: number,
     now: number,
   ): boolean {
     const last = this.#sent.get(address);
-    const isOnItsWay = last !== undefined && last.version === version &&
-      sentAt >= last.sentAt && now - last.at < REPEAT_PAUSE;
-    if (isOnItsWay) return false;
-    this.#sent.set(address, { version, at: now, sentAt });
+    const isInFlight = last !== undefined && last.version === version &&
+      reportSentAt >= last.reportSentAt && now - last.sentAt < RESEND_DELAY;
+    if (isInFlight) return false;
+    this.#sent.set(address, { version, sentAt: now, reportSentAt });
     return true;
   }
 }
--- a/src/core/peers/peer_message.ts
+++ b/src/core/peers/peer_message.ts
@@ -1,5 +1,5 @@
 /**
- * Messages between entry processes.
+ * Messages between the router processes of different VMs.
  *
  * @module
  */
@@ -21,186 +21,188 @@
 
 const count = z.number().int().nonnegative();
 
-/** Records of one word about requests under which servers have ended. */
+/** Maximum number of crash records in one message. */
 const MAXIMUM_RECORDS = 256;
 
-/** What a process knows of requests under which servers have ended. */
-const quarantineWordSchema = z.object({
-  /** Digest of what all VMs should know, or null where none is asked for. */
+/** What a VM knows of requests that ended servers. */
+const quarantineUpdateSchema = z.object({
+  /** Digest of the sender's records that all VMs should have, or null if the receiver
+   * need not compare it with its own. */
   digest: count.nullable(),
   records: z.array(crashRecordSchema).max(MAXIMUM_RECORDS),
 });
 
-/** See {@linkcode quarantineWordSchema}. */
-export type QuarantineWord = z.infer<typeof quarantineWordSchema>;
+/** See {@linkcode quarantineUpdateSchema}. */
+export type QuarantineUpdate = z.infer<typeof quarantineUpdateSchema>;
 
-/** What a process knows: all messages carry it. */
-const knowledgeSchema = z.object({
-  /** Newest assignments: the term, and the number of the change within it. */
+/** Part of the sender's state that all messages include. */
+const senderStateSchema = z.object({
+  /** Newest assignments: the term and the number of the change within it. */
   term: count,
   version: count,
-  /** Version of the configuration in force, or -1. */
+  /** Version of the configuration in force, or -1 if there is none. */
   configuration: z.number().int(),
-  /** Evacuated availability zones; left out while nothing is known of them, and by
-   * VMs that have not been renewed yet. */
+  /** Evacuated availability zones. Absent while nothing is known of them, and in messages
+   * of older versions. */
   evacuation: evacuationNewsSchema.optional(),
-  /** With reports and answers to them; VMs that have not been renewed yet leave it
-   * out and pass over it. */
-  quarantine: quarantineWordSchema.optional(),
+  /** Included in reports, in answers to them and in messages that are sent for its sake.
+   * Older versions omit and ignore it. */
+  quarantine: quarantineUpdateSchema.optional(),
 });
 
-/** See {@linkcode knowledgeSchema}. */
-export type Knowledge = z.infer<typeof knowledgeSchema>;
+/** See {@linkcode senderStateSchema}. */
+export type Knowledge = z.infer<typeof senderStateSchema>;
 
-/** Who holds a term, and where it is reached. */
+/** The holder of a term, its address and fitness. */
 const holderAddressSchema = z.object({
   term: count,
   vm: z.string(),
   address: z.string(),
-  /** Fitness of the fittest VM that it hears of, itself included. */
+  /** Fitness of the fittest VM that the holder knows of, including itself. */
   fitness: z.number().nonnegative(),
 });
 
 /** See {@linkcode holderAddressSchema}. */
 export type HolderAddress = z.infer<typeof holderAddressSchema>;
 
-/** What every message of a term holder to its followers says besides. */
-const holderWordSchema = knowledgeSchema.extend({
-  /** Number of VMs that the holder hears, itself included. */
+/** State that the term holder's messages to its followers include in addition. */
+const holderStateSchema = senderStateSchema.extend({
+  /** Number of VMs from which the holder receives reports, plus one for itself. */
   vms: count,
-  /** Fitness of the fittest VM that it hears, itself included. */
+  /** Fitness of the fittest VM that the holder knows of, including itself. */
   fittest: z.number().nonnegative(),
-  /** Milliseconds since the sending of its last call that the store answered: how
-   * old what it knows may be. VMs that have not been renewed yet leave it out. */
+  /** Milliseconds since the holder sent its last store call that was answered: the
+   * maximum age of its view of the store. Absent in messages of older versions. */
   storeSilence: z.number().nonnegative().optional(),
 });
 
-/** See {@linkcode holderWordSchema}. */
-export type HolderWord = z.infer<typeof holderWordSchema>;
+/** See {@linkcode holderStateSchema}. */
+export type HolderState = z.infer<typeof holderStateSchema>;
 
-/** One service's ranges, with servers by their index to save bytes. */
-const sharedAssignmentSchema = z.object({
+/** A service's key ranges in compact form: ranges refer to servers by index. */
+const compactAssignmentSchema = z.object({
   service: z.string(),
   servers: z.array(
     z.object({ id: z.string(), address: z.string().nullable() }),
   ),
-  /** First key, last key, index of the server or -1, whether it is open. */
+  /** First key, last key, index of the server or -1, and whether the range is open. */
   ranges: z.array(
     z.tuple([count, count, z.number().int().min(-1), z.boolean()]),
   ),
 });
 
-/** See {@linkcode sharedAssignmentSchema}. */
-export type SharedAssignment = z.infer<typeof sharedAssignmentSchema>;
+/** See {@linkcode compactAssignmentSchema}. */
+export type CompactAssignment = z.infer<typeof compactAssignmentSchema>;
 
-/** Load that a server stated some time ago. */
-const statedLoadSchema = z.object({
-  /** Requests that it had. */
+/** Load that a server reported some time ago. */
+const reportedLoadSchema = z.object({
+  /** Number of requests that the server had. */
   requests: count,
-  /** Milliseconds since. */
+  /** Milliseconds since the server reported it. */
   age: z.number().nonnegative(),
 });
 
 /** Maximum number of servers whose rate limits one message carries. */
 export const MAXIMUM_RATES = 256;
 
-/** Rate limits that servers have stated; absent in messages of older versions. A holder
- * that includes them, even if empty, supports token requests. */
+/** Rate limits reported by servers. Absent in messages of older versions. A holder that
+ * includes them, even if empty, supports token requests. */
 const ratesSchema = z.array(rateStatementSchema.extend({ server: z.string() }))
   .max(MAXIMUM_RATES).optional();
 
-/** A follower tells the term holder what it was asked for lately. */
-const keysAskedSchema = knowledgeSchema.extend({
+/** A follower's report to the term holder on the keys that were requested recently. */
+const keysAskedSchema = senderStateSchema.extend({
   kind: z.literal("keys.asked"),
   samples: z.array(z.object({ service: z.string(), keys: z.array(count) })),
-  /** Answer times of the servers that hold keys, measured since the report
-   * before: the mean in milliseconds, and of how many answers. */
+  /** Response times of the servers that hold keys since the last report: the mean in
+   * milliseconds and the number of responses. */
   latencies: z.array(
     z.object({
       server: z.string(),
       mean: z.number(),
       count,
-      /** The load that it stated with the last of them. */
-      load: statedLoadSchema.optional(),
+      /** The load that the server reported with the last of them. */
+      load: reportedLoadSchema.optional(),
     }),
   ),
-  /** Up to where it knows the registry, or null. */
+  /** Registry position that the sender has reached, or null. */
   position: count.nullable(),
-  /** When this was sent, by its own clock. */
+  /** When the report was sent, by the sender's clock. */
   sentAt: z.number(),
-  /** How fit its VM is to hold the term. */
+  /** Fitness of the sender's VM to hold the term. */
   fitness: z.number().nonnegative(),
-  /** Whether it leaves the store's news to the holder; VMs that have not been
-   * renewed yet leave it out and read them. */
+  /** Whether the sender receives store updates from the holder instead of the store.
+   * Older versions omit it and read the store. */
   isTold: z.boolean().optional(),
   rates: ratesSchema,
 });
 
 /** See {@linkcode keysAskedSchema}. */
-export type KeyReport = z.infer<typeof keysAskedSchema>;
+export type FollowerReport = z.infer<typeof keysAskedSchema>;
 
-/** The holder answers a follower's report. */
-const holderAliveSchema = holderWordSchema.extend({
+/** The holder's answer to a follower's report. */
+const holderAliveSchema = holderStateSchema.extend({
   kind: z.literal("holder.alive"),
-  /** What the follower does not know of the registry, or null. */
+  /** Registry changes that the follower lacks, or null. */
   registry: registryNewsSchema.nullable(),
-  /** When the report was sent that this answers, by the follower's clock; VMs
-   * that have not been renewed yet leave it out. */
+  /** When the answered report was sent, by the follower's clock. Older versions omit
+   * it. */
   answersTo: z.number().optional(),
-  /** All limits on requests for keys; none where they are left out. */
+  /** All limits on requests for keys; absent if there are none. */
   limits: z.array(keyLimitSchema).optional(),
-  /** Load of servers that hold keys and have no room, as they stated it. */
-  loads: z.array(statedLoadSchema.extend({ server: z.string() })).optional(),
+  /** Reported load of servers that hold keys and are at capacity. */
+  loads: z.array(reportedLoadSchema.extend({ server: z.string() })).optional(),
   rates: ratesSchema,
 });
 
-/** The holder tells the ranges that have changed after a version. */
-const assignmentsChangedSchema = holderWordSchema.extend({
+/** Sent by the holder when key ranges have changed. */
+const assignmentsChangedSchema = holderStateSchema.extend({
   kind: z.literal("assignments.changed"),
-  /** Version on which the changes build. */
+  /** Version to which the changes apply. */
   since: count,
-  /** Every service, with the ranges that take the place of the same keys. */
-  changes: z.array(sharedAssignmentSchema),
+  /** The changed ranges of each service. They replace the ranges of the same keys. */
+  changes: z.array(compactAssignmentSchema),
 });
 
-/** The holder tells what has just changed in the registry. */
-const serversToldSchema = knowledgeSchema.extend({
+/** Sent by the holder when the registry has changed. */
+const serversToldSchema = senderStateSchema.extend({
   kind: z.literal("servers.told"),
   registry: registryNewsSchema,
 });
 
-/** The holder tells all assignments. */
-const assignmentsToldSchema = holderWordSchema.extend({
+/** Sent by the holder with all assignments. */
+const assignmentsToldSchema = holderStateSchema.extend({
   kind: z.literal("assignments.told"),
-  assignments: z.array(sharedAssignmentSchema),
+  assignments: z.array(compactAssignmentSchema),
 });
 
-/** The holder tells a follower that lacks it the configuration in force. */
-const configurationToldSchema = knowledgeSchema.extend({
+/** Sent by the holder with the configuration in force to a follower that lacks it. */
+const configurationToldSchema = senderStateSchema.extend({
   kind: z.literal("configuration.told"),
   told: configurationSchema,
 });
 
-/** A holder that has heard of its successor tells its followers where it is; one
- * that has lost its authority tells that it lives, as its own successor. */
-const holderChangedSchema = knowledgeSchema.extend({
+/** Names the current term holder. A former holder sends it to its followers when it has a
+ * successor. A holder that has lost its authority but has no successor names itself, to
+ * show that it is still running. */
+const holderChangedSchema = senderStateSchema.extend({
   kind: z.literal("holder.changed"),
   holder: holderAddressSchema,
 });
 
-/** A process that cannot reach the store asks for all that another one knows. */
-const stateWantedSchema = knowledgeSchema.extend({
+/** Sent by a process that cannot reach the store to request another VM's state. */
+const stateWantedSchema = senderStateSchema.extend({
   kind: z.literal("state.wanted"),
-  /** Whether the answer may leave out what is known here already; VMs that have not
-   * been renewed yet need it whole. */
+  /** Whether the answer may omit what the sender already has. Older versions need the
+   * whole state. */
   takesParts: z.boolean().optional(),
 });
 
-/** All that a process knows. */
-const stateToldSchema = knowledgeSchema.extend({
+/** Answer to a request for state. */
+const stateToldSchema = senderStateSchema.extend({
   kind: z.literal("state.told"),
   state: z.object({
-    /** Left out where the one that asked has it. */
+    /** Absent if the receiver has it. */
     configuration: configurationSchema.optional(),
     servers: z.array(backendServerSchema),
     assignments: z.array(assignmentSchema),
@@ -208,60 +210,60 @@
   }),
 });
 
-/** A new term holder asks the one before what it has granted. */
-const termTakenSchema = knowledgeSchema.extend({
+/** Sent by a new term holder to the previous one to request its unexpired grants. */
+const termTakenSchema = senderStateSchema.extend({
   kind: z.literal("term.taken"),
   formerTerm: count,
 });
 
-/** The former holder, which gives no more orders, tells. */
-const termYieldedSchema = knowledgeSchema.extend({
+/** Answer of the previous holder, which no longer gives orders. */
+const termYieldedSchema = senderStateSchema.extend({
   kind: z.literal("term.yielded"),
-  /** The term that it yields to. */
+  /** Term of the new holder. */
   toTerm: count,
   exposures: z.array(exposureSchema),
 });
 
-/** Longest fingerprint of a request, in characters. */
-const LONGEST_FINGERPRINT = 64;
+/** Maximum length of a request fingerprint, in characters. */
+const MAXIMUM_FINGERPRINT_LENGTH = 64;
 
-const permitSchema = knowledgeSchema.extend({
-  /** The whole fingerprint of a request under which servers have ended. */
-  request: z.string().max(LONGEST_FINGERPRINT),
+const permitMessageSchema = senderStateSchema.extend({
+  /** Full fingerprint of a request that ended servers. */
+  request: z.string().max(MAXIMUM_FINGERPRINT_LENGTH),
 });
 
-/** A VM asks the term holder whether it may run one copy of a request. */
-const permitAskedSchema = permitSchema.extend({
+/** Asks the term holder for a permit to run one copy of a request. */
+const permitAskedSchema = permitMessageSchema.extend({
   kind: z.literal("permit.asked"),
-  /** For how long it would, in milliseconds. */
+  /** How long the copy may run, in milliseconds. */
   duration: z.number().nonnegative(),
 });
 
-/** The holder answers. */
-const permitToldSchema = permitSchema.extend({
+/** The holder grants or denies a permit. */
+const permitToldSchema = permitMessageSchema.extend({
   kind: z.literal("permit.told"),
   ...permitAnswerSchema.shape,
 });
 
-/** The VM needs it no longer. */
-const permitReturnedSchema = permitSchema.extend({
+/** Returns a permit that is no longer needed. */
+const permitReturnedSchema = permitMessageSchema.extend({
   kind: z.literal("permit.returned"),
-  /** Whether the server ended that ran the copy. */
+  /** Whether the server that ran the copy ended. */
   hasEnded: z.boolean(),
 });
 
-/** A VM asks the term holder for a token for a rate-limited server. */
-const tokenAskedSchema = knowledgeSchema.extend({
+/** Asks the term holder for a token for a rate-limited server. */
+const tokenAskedSchema = senderStateSchema.extend({
   kind: z.literal("token.asked"),
   server: z.string(),
-  /** The limit as known to this VM. */
+  /** The limit known to the sender. */
   requestsPerSecond: z.number().positive(),
   /** Whether no route to the service has a more urgent priority than the request's. */
   isUrgent: z.boolean(),
 });
 
 /** The holder grants or denies a token. */
-const tokenToldSchema = knowledgeSchema.extend({
+const tokenToldSchema = senderStateSchema.extend({
   kind: z.literal("token.told"),
   server: z.string(),
   ...tokenAnswerSchema.shape,
@@ -287,7 +289,7 @@
   tokenToldSchema,
 ]);
 
-/** See the module's comment. */
+/** A message between the router processes of different VMs. */
 export type PeerMessage = z.infer<typeof peerMessageSchema>;
 
 /** A message of one kind. */
@@ -295,7 +297,7 @@
   kind: Kind;
 };
 
-/** A message as it is sent. */
+/** Effect that sends a message to the VM at `address`. */
 export interface PeerSend {
   kind: "peer.send";
   address: string;
--- a/src/core/peers/state_request.ts
+++ b/src/core/peers/state_request.ts
@@ -1,53 +1,54 @@
 /**
- * Asks other VMs for what the store would tell, while it cannot be reached: a
- * process that has just started knows nothing, and one that is cut off falls
- * behind.
+ * Requests state from other VMs while the store is unreachable: a process that has just
+ * started has no configuration, and one without the store falls behind.
  *
  * @module
  */
-import type { Knowledge, PeerSend, QuarantineWord } from "./peer_message.ts";
+import type { Knowledge, PeerSend, QuarantineUpdate } from "./peer_message.ts";
 
-/** Pause between requests, in milliseconds. A process that starts serves
- * nobody until one is answered; one that is cut off can wait longer. */
-const START_PAUSE = 400;
-const CATCH_UP_PAUSE = 1_500;
+/** Time between two rounds of requests, in milliseconds. A process cannot serve requests
+ * until it has a configuration; one that only falls behind can wait longer. */
+const STARTUP_INTERVAL = 400;
+const CATCH_UP_INTERVAL = 1_500;
 
-/** See the module's comment. */
+/** See the module's comment. Times are milliseconds of this VM's clock. */
 export class StateRequest {
-  #askedAt = -Infinity;
+  #requestedAt = -Infinity;
 
   private constructor(private readonly seeds: readonly string[]) {}
 
-  /** Asks the VMs at `seeds`, and the term holder. */
+  /** Creates a request that is sent to the term holder and, on startup, to the VMs at
+   * `seeds`. */
   static create(seeds: readonly string[]): StateRequest {
     return new StateRequest(seeds);
   }
 
   /**
-   * The requests that are due. `isEmpty` when nothing is known here, `isCutOff`
-   * when the store does not answer; `question` asks for what is held back.
+   * Returns the requests that are due. `isStarting` is true while no configuration is
+   * known, `isStoreLost` while the store is unreachable. `quarantineUpdate` is the
+   * quarantine part of the requests.
    */
   advance(
     now: number,
-    known: Knowledge,
-    question: QuarantineWord,
+    senderState: Knowledge,
+    quarantineUpdate: QuarantineUpdate,
     holder: string | null,
-    isEmpty: boolean,
-    isCutOff: boolean,
+    isStarting: boolean,
+    isStoreLost: boolean,
   ): PeerSend[] {
-    if (!isEmpty && !isCutOff) return [];
-    const pause = isEmpty ? START_PAUSE : CATCH_UP_PAUSE;
-    if (now - this.#askedAt < pause) return [];
-    this.#askedAt = now;
-    const addresses = new Set(isEmpty ? this.seeds : []);
+    if (!isStarting && !isStoreLost) return [];
+    const interval = isStarting ? STARTUP_INTERVAL : CATCH_UP_INTERVAL;
+    if (now - this.#requestedAt < interval) return [];
+    this.#requestedAt = now;
+    const addresses = new Set(isStarting ? this.seeds : []);
     if (holder !== null) addresses.add(holder);
     return [...addresses].map((address) => ({
       kind: "peer.send",
       address,
       message: {
         kind: "state.wanted",
-        ...known,
-        quarantine: question,
+        ...senderState,
+        quarantine: quarantineUpdate,
         takesParts: true,
       },
     }));
--- a/src/core/peers/vm_count.ts
+++ b/src/core/peers/vm_count.ts
@@ -1,47 +1,48 @@
 /**
- * The number of VMs that share servers and the retry budget, estimated from
- * what is heard. A new term holder has heard few at first, and one that
- * undercounts lets every VM take too much: so the largest recent count holds.
+ * Estimates the number of VMs among which servers and the retry budget are shared. A new
+ * term holder has received reports from few VMs at first, and with too low a count every
+ * VM would use too large a share. The estimate is therefore the largest recent count.
  *
  * @module
  */
 
-/** Time for which a larger count holds, in milliseconds: as long as the window
- * of the retry budget, in which VMs that have left still count. */
-const MEMORY = 10_000;
+/** Time for which a larger count is kept, in milliseconds: the window of the retry
+ * budget, in which VMs that have stopped still count. */
+const RETENTION_TIME = 10_000;
 
-/** See the module's comment. */
+/** See the module's comment. Times are milliseconds. */
 export class VmCount {
   #largest: number | null = null;
   #largestAt = -Infinity;
-  #since: { count: number; at: number } | null = null;
+  /** Largest count observed since the estimate was last confirmed. */
+  #candidate: { count: number; at: number } | null = null;
 
   private constructor() {}
 
-  /** A count that is not known yet. */
+  /** Creates an estimate that is not known yet. */
   static create(): VmCount {
     return new VmCount();
   }
 
-  /** The estimate, or null before anything was heard. */
+  /** The estimated count, or null before the first observation. */
   get value(): number | null {
     return this.#largest;
   }
 
-  /** Some source counts so many VMs. */
-  heard(count: number, now: number): void {
+  /** Records a VM's count of the live VMs. */
+  observe(count: number, now: number): void {
     if (this.#largest === null || count >= this.#largest) {
       this.#largest = count;
       this.#largestAt = now;
-      this.#since = null;
+      this.#candidate = null;
       return;
     }
-    if (this.#since === null || count > this.#since.count) {
-      this.#since = { count, at: now };
+    if (this.#candidate === null || count > this.#candidate.count) {
+      this.#candidate = { count, at: now };
     }
-    if (now - this.#largestAt < MEMORY) return;
-    this.#largest = this.#since.count;
-    this.#largestAt = this.#since.at;
-    this.#since = null;
+    if (now - this.#largestAt < RETENTION_TIME) return;
+    this.#largest = this.#candidate.count;
+    this.#largestAt = this.#candidate.at;
+    this.#candidate = null;
   }
 }
