--- a/src/core/exchange/configuration_watch.ts
+++ b/src/core/exchange/configuration_watch.ts
@@ -8,13 +8,13 @@
 
 /** How long to wait for a newer configuration to arrive from the store or with the
  * term holder's next answer before fetching it, in milliseconds. */
-const CONFIGURATION_PATIENCE = 600;
+const GRACE_PERIOD = 600;
 /** The same for a VM that receives store updates from the term holder instead of the
  * store. They arrive with the answer to its next report, which can take up to 750 ms
  * on an otherwise idle VM. */
-const TOLD_PATIENCE = 1_000;
+const HOLDER_UPDATE_GRACE_PERIOD = 1_000;
 /** Minimum time between two fetches, in milliseconds. */
-const CONFIGURATION_PAUSE = 400;
+const FETCH_INTERVAL = 400;
 
 /** Compares the configuration versions of peers with this VM's own. Times are in
  * milliseconds on this VM's clock. */
@@ -24,30 +24,32 @@
   #behindSince = Infinity;
 
   private constructor(
-    private readonly beliefs: Beliefs,
+    private readonly clusterState: Beliefs,
     private readonly emit: Emit,
   ) {}
 
   /** Creates a watch that has seen no newer configuration. */
-  static create(beliefs: Beliefs, emit: Emit): ConfigurationWatch {
-    return new ConfigurationWatch(beliefs, emit);
+  static create(clusterState: Beliefs, emit: Emit): ConfigurationWatch {
+    return new ConfigurationWatch(clusterState, emit);
   }
 
   /** Compares a peer's configuration version, `newest`, with the one in force here and
-   * requests a fetch if this VM has been behind for too long. `isTold` is true while
-   * this VM receives store updates from the term holder. */
-  compare(newest: number, isTold: boolean, now: number): void {
-    const { version } = this.beliefs.catalog;
+   * requests a fetch if this VM has been behind for too long. `hasHolderUpdates` is true
+   * while this VM receives store updates from the term holder. */
+  compare(newest: number, hasHolderUpdates: boolean, now: number): void {
+    const { version } = this.clusterState.catalog;
     if (newest <= version) {
       this.#behindSince = Infinity;
       return;
     }
     this.#behindSince = Math.min(this.#behindSince, now);
-    const patience = isTold ? TOLD_PATIENCE : CONFIGURATION_PATIENCE;
-    if (now - this.#behindSince < patience) return;
-    if (now - this.#fetchedAt < CONFIGURATION_PAUSE) return;
+    const gracePeriod = hasHolderUpdates
+      ? HOLDER_UPDATE_GRACE_PERIOD
+      : GRACE_PERIOD;
+    if (now - this.#behindSince < gracePeriod) return;
+    if (now - this.#fetchedAt < FETCH_INTERVAL) return;
     this.#fetchedAt = now;
-    this.beliefs.note("configuration.behind", { version, newest });
+    this.clusterState.note("configuration.behind", { version, newest });
     this.emit({ kind: "configuration.fetch" });
   }
 }
--- a/src/core/exchange/peer_exchange.ts
+++ b/src/core/exchange/peer_exchange.ts
@@ -1,5 +1,5 @@
 /**
- * What this process says to the other VMs and takes from them.
+ * Sends this VM's messages to other VMs and handles the messages received from them.
  *
  * @module
  */
@@ -31,27 +31,27 @@
   QuarantineExchange,
   type QuarantineSend,
 } from "./quarantine_exchange.ts";
-import { TermPublication } from "./term_publication.ts";
+import { StatePublisher } from "./term_publication.ts";
 
-/** Time between two steps after which this process counts as having slept, in
- * milliseconds; timers go off four times as often. */
-const SLEEP = 1_000;
+/** Time between two calls of {@linkcode PeerExchange.advance} after which this process is
+ * assumed to have been suspended, in milliseconds. Timers fire four times as often. */
+const SUSPENSION_THRESHOLD = 1_000;
 
-/** See the module's comment. */
+/** See the module's comment. Times are milliseconds of this VM's clock. */
 export class PeerExchange {
   readonly followerLink: FollowerLink;
   readonly permits: PermitExchange;
   readonly tokens: TokenExchange;
-  readonly #publication: TermPublication;
+  readonly #publisher: StatePublisher;
   readonly #stateExchange: StateExchange;
   readonly #configurationWatch: ConfigurationWatch;
   readonly #quarantine: QuarantineExchange;
-  #areKeysAsked = false;
+  #isAssignmentNeeded = false;
   #advancedAt = -Infinity;
-  readonly #vms = VmCount.create();
+  readonly #vmCount = VmCount.create();
 
   private constructor(
-    private readonly beliefs: Beliefs,
+    private readonly clusterState: Beliefs,
     private readonly campaign: TermCampaign,
     loads: KeyLoads,
     private readonly store: StoreHealth,
@@ -61,30 +61,38 @@
     private readonly draw: () => number,
   ) {
     this.followerLink = FollowerLink.create(campaign.fitness);
-    this.#publication = TermPublication.create(
-      beliefs,
+    this.#publisher = StatePublisher.create(
+      clusterState,
       campaign,
       loads,
       store,
       emit,
     );
-    this.permits = PermitExchange.create(beliefs, emit, ownAddress);
+    this.permits = PermitExchange.create(clusterState, emit, ownAddress);
     this.tokens = TokenExchange.create(
-      beliefs,
+      clusterState,
       emit,
       ownAddress,
       () => this.vms,
       draw,
     );
-    this.#stateExchange = StateExchange.create(beliefs, store, emit, seeds);
-    this.#configurationWatch = ConfigurationWatch.create(beliefs, emit);
-    this.#quarantine = QuarantineExchange.create(beliefs.quarantine, seeds);
+    this.#stateExchange = StateExchange.create(
+      clusterState,
+      store,
+      emit,
+      seeds,
+    );
+    this.#configurationWatch = ConfigurationWatch.create(clusterState, emit);
+    this.#quarantine = QuarantineExchange.create(
+      clusterState.quarantine,
+      seeds,
+    );
   }
 
-  /** An exchange of the process at `ownAddress`, which has heard nobody; it asks
-   * `seeds` at need. */
+  /** Creates an exchange for the process at `ownAddress` that has received no messages.
+   * `seeds` are addresses of VMs to contact if the term holder is unknown or silent. */
   static create(
-    beliefs: Beliefs,
+    clusterState: Beliefs,
     campaign: TermCampaign,
     loads: KeyLoads,
     store: StoreHealth,
@@ -94,7 +102,7 @@
     draw: () => number,
   ): PeerExchange {
     return new PeerExchange(
-      beliefs,
+      clusterState,
       campaign,
       loads,
       store,
@@ -105,50 +113,51 @@
     );
   }
 
-  /** Estimated number of VMs, or null. */
+  /** Estimated number of VMs, or null if it is not known yet. */
   get vms(): number | null {
-    return this.#vms.value;
+    return this.#vmCount.value;
   }
 
-  /** Whether the term holder's word does for this VM's calls to the store: it only
-   * observes, so nothing but news is of use to it. */
+  /** Whether this VM receives store updates from the term holder instead of calling the
+   * store. Only observers do: they do not stand for election and need nothing else from
+   * the store. */
   isTold(now: number): boolean {
     return this.campaign.isObserver &&
       this.followerLink.isStoreStateCurrent(now);
   }
 
-  /** A caller asked for a key: from here on assignments are needed. */
+  /** Records a request for a key. Assignments are needed from now on. */
   keyAsked(service: string, key: number): void {
-    this.#areKeysAsked = true;
+    this.#isAssignmentNeeded = true;
     this.followerLink.sampleKey(service, key);
   }
 
-  /** A server refused a key that it holds by what is known here. */
+  /** Handles a server's refusal of a key that is assigned to it in the local state. */
   keyRefused(): void {
     this.followerLink.outdated();
   }
 
-  /** The rate limit that a server states to this VM has begun or ended. Makes the next
-   * report due at once, so that the other VMs learn of it soon. */
+  /** Handles the start or end of a rate limit that a server reported to this VM. Makes the
+   * next report due soon so that the other VMs learn of it. */
   rateLimitChanged(change: ServerRateChange, now: number): void {
-    this.beliefs.rateLimitChanged(change, now);
+    this.clusterState.rateLimitChanged(change, now);
     this.followerLink.outdated();
   }
 
-  /** When {@linkcode advance} is needed soon; Infinity when it can wait. */
+  /** When {@linkcode advance} must be called next; Infinity if there is no fixed time. */
   nextAt(): number {
     return this.campaign.holder === null
       ? this.followerLink.nextAt()
       : Infinity;
   }
 
-  /** Another VM may have announced that it holds a term. */
+  /** Follows the announced term holder if its term is newer than the known one. */
   follow(holder: HolderAddress, now: number): void {
-    const isNew = this.beliefs.followHolder(holder);
+    const isNew = this.clusterState.followHolder(holder);
     if (!isNew) return;
     const { address, fitness } = holder;
     const isOwn = address === this.ownAddress;
-    if (!isOwn) this.emit(...this.#publication.tellSuccessor(holder));
+    if (!isOwn) this.emit(...this.#publisher.announceSuccessor(holder));
     this.permits.follow(address, now);
     this.tokens.follow(address, now);
     const chance = this.draw();
@@ -156,12 +165,16 @@
     this.campaign.hearFitness(fitness, now);
   }
 
-  /** Takes a message. */
+  /** Handles a message from the VM at `address`. */
   receive(address: string, message: PeerMessage, now: number): void {
-    const isTold = this.isTold(now);
-    this.#configurationWatch.compare(message.configuration, isTold, now);
-    const { evacuation } = message;
-    if (evacuation !== undefined) this.beliefs.evacuationsTold(evacuation, now);
+    const hasHolderUpdates = this.isTold(now);
+    this.#configurationWatch.compare(
+      message.configuration,
+      hasHolderUpdates,
+      now,
+    );
+    const { evacuation: zones } = message;
+    if (zones !== undefined) this.clusterState.evacuationsTold(zones, now);
     if (message.quarantine !== undefined) {
       const { quarantine } = message;
       const answer = this.#quarantine.receive(address, quarantine, now);
@@ -169,26 +182,26 @@
     }
     switch (message.kind) {
       case "keys.asked":
-        return this.#takeReport(address, message, now);
+        return this.#handleReport(address, message, now);
       case "holder.alive":
-        this.#takeAnswer(address, message, now);
-        this.#takeRegistry(message.registry, now);
-        this.#takeCrowding(address, message, now);
-        return this.#hear(address, message, now);
+        this.#handleAnswer(address, message, now);
+        this.#applyRegistry(message.registry, now);
+        this.#applyOverload(address, message, now);
+        return this.#applyHolderState(address, message, now);
       case "configuration.told":
-        return this.beliefs.configure(message.told);
+        return this.clusterState.configure(message.told);
       case "servers.told":
-        return this.#takeRegistry(message.registry, now);
+        return this.#applyRegistry(message.registry, now);
       case "assignments.told":
-        this.#hear(address, message, now);
-        return this.beliefs.assign(
+        this.#applyHolderState(address, message, now);
+        return this.clusterState.assign(
           message.assignments.map((each) =>
             expandAssignment(each, message.term, message.version)
           ),
         );
       case "assignments.changed":
-        this.#hear(address, message, now);
-        return this.beliefs.changeAssignments(
+        this.#applyHolderState(address, message, now);
+        return this.clusterState.changeAssignments(
           message.changes.map((each) =>
             expandAssignment(each, message.term, message.version)
           ),
@@ -196,19 +209,19 @@
         );
       case "holder.changed":
         if (message.holder.address === address) {
-          this.#takeSignOfLife(message.holder, now);
+          this.#applyLiveness(message.holder, now);
         }
         return this.follow(message.holder, now);
       case "state.wanted":
-        return this.#stateExchange.tellState(address, message);
+        return this.#stateExchange.sendState(address, message);
       case "state.told": {
-        const holder = this.#stateExchange.takeState(message, now);
+        const holder = this.#stateExchange.applyState(message, now);
         return holder === null ? undefined : this.follow(holder, now);
       }
       case "term.taken":
-        return this.#yield(address, message, now);
+        return this.#handleTermTaken(address, message, now);
       case "term.yielded":
-        return this.#relieve(message, now);
+        return this.#handleTermYielded(message, now);
       case "permit.asked":
       case "permit.told":
       case "permit.returned":
@@ -219,10 +232,10 @@
     }
   }
 
-  /** The record of assignments was read: a holder that goes on writing it lives,
-   * also while it is too busy to answer. */
+  /** Handles assignments read from the store. If the holder has written newer ones it is
+   * still running, even if it is too busy to answer reports. */
   recordRead(assignments: readonly Assignment[], now: number): void {
-    const { holder, directory } = this.beliefs;
+    const { holder, directory } = this.clusterState;
     const { term, version } = directory.position;
     const isNews = assignments.some((each) =>
       each.term === holder?.term &&
@@ -233,48 +246,51 @@
   }
 
   /**
-   * Asks the holder before, if it lives, what it has granted: without its word
-   * the worst has to be assumed of servers that do not answer.
+   * Asks the previous holder, if it is still running, for the grants it has made. Without
+   * them, the new holder must assume that unreachable servers still hold their keys.
    */
   askFormerHolder(term: number, formerTerm: number): void {
-    const former = this.beliefs.holder;
+    const former = this.clusterState.holder;
     if (former === null || former.term !== formerTerm) return;
-    const { version } = this.beliefs.directory.position;
+    const { version } = this.clusterState.directory.position;
     this.#send(former.address, {
       kind: "term.taken",
-      ...this.beliefs.knowledge({ term, version }),
+      ...this.clusterState.knowledge({ term, version }),
       formerTerm,
     });
   }
 
-  /** Takes all steps that are due. */
+  /** Performs all actions that are due. */
   advance(now: number): void {
     const { store } = this;
-    // Whatever was told meanwhile may have been lost with its connection.
-    if (now - this.#advancedAt >= SLEEP && this.#advancedAt > -Infinity) {
+    // Messages sent during a suspension may have been lost together with the connection.
+    if (
+      now - this.#advancedAt >= SUSPENSION_THRESHOLD &&
+      this.#advancedAt > -Infinity
+    ) {
       this.followerLink.outdated();
     }
     this.#advancedAt = now;
     this.#stateExchange.advance(
-      this.#quarantine.question,
+      this.#quarantine.digestUpdate,
       this.followerLink.holder,
       now,
     );
     this.#shareQuarantine(now);
     const { holder } = this.campaign;
     if (holder !== null) {
-      this.#vms.observe(this.#publication.vms(now), now);
-      return this.#publication.advance(holder, now);
+      this.#vmCount.observe(this.#publisher.vmCount(now), now);
+      return this.#publisher.advance(holder, now);
     }
-    const known = this.#reported(now);
-    const mayFetch = this.#areKeysAsked && !store.isFailing(now);
-    const { position } = this.beliefs.registry;
+    const senderState = this.#reportState(now);
+    const mayFetch = this.#isAssignmentNeeded && !store.isFailing(now);
+    const { position } = this.clusterState.registry;
     const latencies = this.#takeLatencies(now);
     const rates = this.#takeRates(now);
     this.emit(
       ...this.followerLink.advance(
         now,
-        known,
+        senderState,
         position,
         latencies,
         mayFetch,
@@ -284,47 +300,47 @@
     );
   }
 
-  /** What a report to the holder tells that this VM knows. */
-  #reported(now: number): Knowledge {
-    const known = this.beliefs.knowledge();
+  /** State to include in a report. If one is due, it contains the quarantine update. */
+  #reportState(now: number): Knowledge {
+    const state = this.clusterState.knowledge();
     const { holder } = this.followerLink;
-    if (holder === null || !this.followerLink.isReportDue(now)) return known;
-    return { ...known, quarantine: this.#quarantine.report(holder, now) };
+    if (holder === null || !this.followerLink.isReportDue(now)) return state;
+    return { ...state, quarantine: this.#quarantine.report(holder, now) };
   }
 
   #shareQuarantine(now: number): void {
-    const words = this.#quarantine.advance(
-      this.#hubSilence(now),
+    const updates = this.#quarantine.advance(
+      this.#holderSilence(now),
       this.vms,
       now,
     );
-    for (const each of words) this.#sendQuarantine(each);
+    for (const each of updates) this.#sendQuarantine(each);
     if (this.#quarantine.isUrgent(this.vms, now)) this.followerLink.outdated();
   }
 
-  /** How long the VM that all others report to has not been heard here, in
-   * milliseconds; that VM itself needs to hear nobody. */
-  #hubSilence(now: number): number {
-    const isOwn = this.beliefs.holder?.address === this.ownAddress;
+  /** Time since the last message from the term holder, in milliseconds; 0 if this VM is
+   * the announced holder. */
+  #holderSilence(now: number): number {
+    const isOwn = this.clusterState.holder?.address === this.ownAddress;
     return isOwn ? 0 : this.followerLink.silence(now);
   }
 
-  /** Any message may carry it; this one says nothing else that is new, and VMs that
-   * have not been renewed yet take it for that. */
-  #sendQuarantine({ address, word }: QuarantineSend): void {
-    const { holder } = this.beliefs;
+  /** Sends a quarantine update. Any message can carry one. This kind is used because it
+   * otherwise repeats known information, and older versions accept it as such. */
+  #sendQuarantine({ address, update }: QuarantineSend): void {
+    const { holder } = this.clusterState;
     if (holder === null) return;
     this.#send(address, {
       kind: "holder.changed",
-      ...this.beliefs.knowledge(),
-      quarantine: word,
+      ...this.clusterState.knowledge(),
+      quarantine: update,
       holder,
     });
   }
 
-  /** What a report that is due tells of the servers that hold keys. */
+  /** Latencies of the servers that hold keys to include in the report, if one is due. */
   #takeLatencies(now: number): ServerSamples[] {
-    const { catalog, fleet } = this.beliefs;
+    const { catalog, fleet } = this.clusterState;
     if (!this.followerLink.isReportDue(now)) return [];
     return catalog.keyedServices.flatMap(({ name }) =>
       fleet.takeSamples(name, now)
@@ -334,106 +350,111 @@
   /** Rate limits to include in the report, if one is due. */
   #takeRates(now: number): ServerRate[] {
     if (!this.followerLink.isReportDue(now)) return [];
-    return this.beliefs.fleet.takeRates(now).slice(0, MAXIMUM_RATES);
+    return this.clusterState.fleet.takeRates(now).slice(0, MAXIMUM_RATES);
   }
 
-  #takeRegistry(news: RegistryNews | null, now: number): void {
-    const { registry, fleet } = this.beliefs;
+  #applyRegistry(news: RegistryNews | null, now: number): void {
+    const { registry, fleet } = this.clusterState;
     const changes = news === null ? null : registry.take(news);
     if (changes === null) return;
-    // The store may be back without this VM knowing yet: entries that lapsed
-    // in the outage are given the time to return.
+    // The store may have recovered without this VM noticing. Servers whose entries
+    // expired during the outage get time to register again.
     if (this.store.isLost && changes.removed.length > 0) fleet.regained(now);
-    this.beliefs.changeServers(
+    this.clusterState.changeServers(
       fleet.apply(changes.entries, changes.removed, now, changes.unreadable),
       now,
     );
     fleet.confirm((id) => registry.isListed(id), now);
   }
 
-  #hear(address: string, { vms, fittest }: HolderState, now: number): void {
+  #applyHolderState(
+    address: string,
+    { vms, fittest }: HolderState,
+    now: number,
+  ): void {
     if (address === this.followerLink.holder) this.followerLink.received(now);
-    this.#vms.observe(vms, now);
+    this.#vmCount.observe(vms, now);
     this.campaign.hearFitness(fittest, now);
   }
 
-  #takeAnswer(
+  #handleAnswer(
     address: string,
     { answersTo, storeSilence }: MessageOf<"holder.alive">,
     now: number,
   ): void {
     const isOfHolder = address === this.followerLink.holder;
     if (!isOfHolder || answersTo === undefined) return;
-    // Reckoned from when this VM asked: the answer may be long on its way.
-    const currentAt = answersTo - (storeSilence ?? Infinity);
-    this.followerLink.reportAnswered(answersTo, currentAt);
-    this.#quarantine.answered(address, answersTo);
-    if (!this.store.vouched(currentAt, now)) return;
-    this.beliefs.storeRegained(now);
+    // Counted from when this VM sent the report, because the answer may have been delayed.
+    const storeContactAt = answersTo - (storeSilence ?? Infinity);
+    this.followerLink.reportAnswered(answersTo, storeContactAt);
+    this.#quarantine.reportAnswered(address, answersTo);
+    if (!this.store.vouched(storeContactAt, now)) return;
+    this.clusterState.storeRegained(now);
   }
 
-  /** Takes what the holder tells of servers that cannot do all that is asked. */
-  #takeCrowding(
+  /** Applies the term holder's data on overloaded servers. */
+  #applyOverload(
     address: string,
     { limits = [], loads = [], rates }: MessageOf<"holder.alive">,
     now: number,
   ): void {
     if (address !== this.followerLink.holder) return;
-    this.beliefs.keyLimits.take(limits, now);
-    this.beliefs.fleet.hearLoads(loads, now);
-    this.beliefs.hearRates(rates ?? [], now);
+    this.clusterState.keyLimits.take(limits, now);
+    this.clusterState.fleet.hearLoads(loads, now);
+    this.clusterState.hearRates(rates ?? [], now);
     this.tokens.holderAnswered(rates !== undefined);
   }
 
-  #takeReport(
+  #handleReport(
     address: string,
     message: MessageOf<"keys.asked">,
     now: number,
   ): void {
     const { holder } = this.campaign;
-    if (holder === null) return this.#showLife(address, now);
-    this.#publication.reported(holder, address, message, now);
+    if (holder === null) return this.#announceLiveness(address, now);
+    this.#publisher.reportReceived(holder, address, message, now);
   }
 
   /**
-   * Tells a follower that this VM, which has lost the authority of the term that it
-   * was the last to hold, lives. In an outage of the store nobody has authority;
-   * without a sign of a fit VM the small ones would stand for election, and win by
-   * their number once the store is back.
+   * Shows a follower that this VM, the last term holder, is running although it has lost
+   * its authority. During a store outage no VM has authority. Without a sign from a VM of
+   * high fitness, less fit VMs would stand for election and, being more numerous, win once
+   * the store is back.
    */
-  #showLife(address: string, now: number): void {
-    const { holder } = this.beliefs;
+  #announceLiveness(address: string, now: number): void {
+    const { holder } = this.clusterState;
     if (holder?.address !== this.ownAddress || this.campaign.isRetired) return;
     this.#send(address, {
       kind: "holder.changed",
-      ...this.beliefs.knowledge(),
+      ...this.clusterState.knowledge(),
       holder: { ...holder, fitness: this.campaign.fittest(now) },
     });
   }
 
-  /** The last holder lives, without authority. It counts while the store answers
-   * nobody: one that alone is cut off must not keep others from the term. */
-  #takeSignOfLife({ fitness }: HolderAddress, now: number): void {
+  /** Handles a sign of life of the last term holder, which has no authority. It counts only
+   * while this VM cannot reach the store either: a holder that alone is disconnected must
+   * not keep other VMs from being elected. */
+  #applyLiveness({ fitness }: HolderAddress, now: number): void {
     if (this.store.isLost) this.campaign.hearFitness(fitness, now);
   }
 
-  #yield(
+  #handleTermTaken(
     address: string,
     { term, formerTerm }: MessageOf<"term.taken">,
     now: number,
   ): void {
     const exposures = this.campaign.yieldTo(term, formerTerm, now);
     if (exposures === null) return;
-    this.beliefs.note("term.yielded", { term: formerTerm, toTerm: term });
+    this.clusterState.note("term.yielded", { term: formerTerm, toTerm: term });
     this.#send(address, {
       kind: "term.yielded",
-      ...this.beliefs.knowledge(),
+      ...this.clusterState.knowledge(),
       toTerm: term,
       exposures: [...exposures],
     });
   }
 
-  #relieve(
+  #handleTermYielded(
     { toTerm, exposures }: MessageOf<"term.yielded">,
     now: number,
   ): void {
--- a/src/core/exchange/permit_exchange.ts
+++ b/src/core/exchange/permit_exchange.ts
@@ -1,9 +1,9 @@
 /**
- * How VMs and the term holder speak of permits for requests under which servers have
- * ended.
+ * Messages by which VMs request permits from the term holder to run requests that crashed
+ * servers.
  *
- * A VM that knows no holder, or whose holder does not answer, gets none: its callers
- * are refused at once rather than let another server end.
+ * A VM without a known term holder, or whose term holder does not answer, gets no permit.
+ * It rejects such requests immediately instead of risking another server crash.
  *
  * @module
  */
@@ -28,32 +28,33 @@
   readonly #issuer = PermitIssuer.create();
 
   private constructor(
-    private readonly beliefs: Beliefs,
+    private readonly clusterState: Beliefs,
     private readonly emit: Emit,
     private readonly ownAddress: string,
   ) {
     this.permits = RunPermits.create({
-      ask: (request, duration, now) => this.#ask(request, duration, now),
-      giveBack: (request, hasEnded) => this.#giveBack(request, hasEnded),
+      ask: (request, duration, now) =>
+        this.#requestPermit(request, duration, now),
+      giveBack: (request, hasEnded) => this.#returnPermit(request, hasEnded),
     });
   }
 
-  /** The exchange of the VM at `ownAddress`. */
+  /** Creates the exchange of the VM at `ownAddress`. */
   static create(
-    beliefs: Beliefs,
+    clusterState: Beliefs,
     emit: Emit,
     ownAddress: string,
   ): PermitExchange {
-    return new PermitExchange(beliefs, emit, ownAddress);
+    return new PermitExchange(clusterState, emit, ownAddress);
   }
 
-  /** The VM at an address is the term holder from now on. */
+  /** Makes the VM at address `holder` the term holder. */
   follow(holder: string, now: number): void {
     if (holder === this.ownAddress) this.#issuer.begin(now);
     else this.#issuer.end();
   }
 
-  /** Takes another VM's message. */
+  /** Handles a message from the VM at `address`. */
   receive(address: string, message: PermitMessage, now: number): void {
     const { request } = message;
     switch (message.kind) {
@@ -65,22 +66,26 @@
           address,
           message: {
             kind: "permit.told",
-            ...this.beliefs.knowledge(),
+            ...this.clusterState.knowledge(),
             request,
             ...answer,
           },
         });
       }
       case "permit.told":
-        if (address !== this.beliefs.holder?.address) return;
+        if (address !== this.clusterState.holder?.address) return;
         return this.permits.told(request, message, now);
       case "permit.returned":
         return this.#issuer.returned(request, address, message.hasEnded);
     }
   }
 
-  #ask(request: string, duration: number, now: number): PermitAnswer | null {
-    const address = this.beliefs.holder?.address;
+  #requestPermit(
+    request: string,
+    duration: number,
+    now: number,
+  ): PermitAnswer | null {
+    const address = this.clusterState.holder?.address;
     if (address === undefined) {
       return { isGranted: false, left: LONGEST_PERMIT };
     }
@@ -92,7 +97,7 @@
       address,
       message: {
         kind: "permit.asked",
-        ...this.beliefs.knowledge(),
+        ...this.clusterState.knowledge(),
         request,
         duration,
       },
@@ -100,8 +105,8 @@
     return null;
   }
 
-  #giveBack(request: string, hasEnded: boolean): void {
-    const address = this.beliefs.holder?.address;
+  #returnPermit(request: string, hasEnded: boolean): void {
+    const address = this.clusterState.holder?.address;
     if (address === undefined) return;
     if (address === this.ownAddress) {
       return this.#issuer.returned(request, address, hasEnded);
@@ -111,7 +116,7 @@
       address,
       message: {
         kind: "permit.returned",
-        ...this.beliefs.knowledge(),
+        ...this.clusterState.knowledge(),
         request,
         hasEnded,
       },
--- a/src/core/exchange/permit_exchange_test.ts
+++ b/src/core/exchange/permit_exchange_test.ts
@@ -23,10 +23,10 @@
   return addresses.map((address) => {
     const sent: PeerSend[] = [];
     const emit = messageCollector(sent);
-    const beliefs = Beliefs.create(emit);
-    const exchange = PermitExchange.create(beliefs, emit, address);
+    const clusterState = Beliefs.create(emit);
+    const exchange = PermitExchange.create(clusterState, emit, address);
     const word = { term: 1, vm: holder, address: holder, fitness: 1 };
-    beliefs.followHolder(word);
+    clusterState.followHolder(word);
     exchange.follow(holder, 0);
     return { address, exchange, sent };
   });
@@ -66,8 +66,8 @@
 });
 
 test("permit exchange: without a holder, or one that answers, copies are refused", (t) => {
-  const beliefs = Beliefs.create(() => {});
-  const alone = PermitExchange.create(beliefs, () => {}, "a");
+  const clusterState = Beliefs.create(() => {});
+  const alone = PermitExchange.create(clusterState, () => {}, "a");
   t.is(alone.permits.check(REQUEST, "1", 800, OPEN_AT).kind, "denied");
   const [a] = createVms("gone", ["a"]);
   t.is(check(a, "1", OPEN_AT), "asked");
--- a/src/core/exchange/quarantine_exchange.ts
+++ b/src/core/exchange/quarantine_exchange.ts
@@ -1,75 +1,77 @@
 /**
- * How VMs share which requests servers have ended under.
+ * Synchronizes records of requests that crash servers between VMs.
  *
- * Each VM tells the term holder what it has seen, with its reports, until one that has
- * it is answered; the holder, which sees the ends of all VMs, tells all of them what
- * is held back, or close to it, as soon as it is. Every report carries a digest of
- * that, and whoever gets one that differs answers with all of it: so a VM that has
- * just started, or has missed something, catches up within a report, and a new holder
- * is told everything anew. None of this needs the store, nor authority to give orders.
+ * Each VM includes its new records in its reports to the term holder until a report with
+ * them is answered. The holder, which receives the records of all VMs, sends those of
+ * requests that are quarantined, or close to it, to all VMs immediately. Every report
+ * includes a digest of these. A VM that receives a different digest answers with all of
+ * them, so that a VM that has just started or has missed updates catches up with its next
+ * report. A new holder is sent all records again. None of this requires the store or the
+ * authority of a term.
  *
- * While the holder is not heard, the VMs at the seed addresses stand in for it.
+ * While the holder is silent, the VMs at the seed addresses take its place.
  *
  * @module
  */
 import type { CrashRecord, Quarantine } from "../quarantine/index.ts";
 import type { QuarantineUpdate } from "../peers/index.ts";
 
-/** Silence after which a VM is not told unasked any more, in milliseconds: several of
- * its reports are missing. */
-const LISTENER_SILENCE = 3_000;
-/** Shortest pause between two answers to one VM, in milliseconds: what it lacks may be
- * on its way. */
-const ANSWER_PAUSE = 400;
-/** Pause between two words to the seeds while the holder is silent, in
+/** Time without a digest from a VM after which it is sent no more updates, in
+ * milliseconds: several of its reports are missing. */
+const PEER_TIMEOUT = 3_000;
+/** Minimum time between two answers to the same VM, in milliseconds. What it lacks may
+ * still be in transit. */
+const ANSWER_INTERVAL = 400;
+/** Minimum time between two updates to the seeds while the holder is silent, in
  * milliseconds. */
-const SEED_PAUSE = 500;
-/** The same for each VM that tells them, so that a seed takes at most 200 words a
- * second. */
-const SEED_PAUSE_PER_VM = 5;
-/** Shortest pause before a report that cannot wait, in milliseconds for each VM, so
- * that a holder gets at most 100 of them a second: many VMs see each server end. */
-const URGENT_PAUSE_PER_VM = 10;
-/** Silence of the holder after which the seeds stand in for it, in milliseconds: two
- * of its answers are missing. */
-const HOLDER_SILENCE = 1_200;
-/** Shortest pause before the listeners are told of requests under which one server has
- * ended, in milliseconds for each of them: the ends of many servers at once are then
- * told in few words, and a copy that comes within that time meets one more end. */
-const SUSPECTS_PAUSE_PER_VM = 2;
-/** Reports whose answers are awaited; older ones count as lost. */
-const MAXIMUM_AWAITED = 8;
-
-/** A word to another VM. */
+const SEED_INTERVAL = 500;
+/** The same per VM that sends such updates, so that a seed receives at most 200 of them
+ * per second. */
+const SEED_INTERVAL_PER_VM = 5;
+/** Minimum time before an urgent report, in milliseconds per VM, so that the holder
+ * receives at most 100 of them per second: many VMs see the same server crash. */
+const URGENT_INTERVAL_PER_VM = 10;
+/** Time without a message from the holder after which the seeds take its place, in
+ * milliseconds: two answers are missing. */
+const HOLDER_TIMEOUT = 1_200;
+/** Minimum time between two updates on requests that crashed a single server, in
+ * milliseconds per receiving VM. Simultaneous crashes of many servers then take few
+ * messages. A copy of such a request that arrives within this time can crash one more
+ * server. */
+const SUSPECTS_INTERVAL_PER_VM = 2;
+/** Maximum number of reports that wait for an answer; older ones count as lost. */
+const MAXIMUM_PENDING = 8;
+
+/** An update to send to the VM at `address`. */
 export interface QuarantineSend {
   address: string;
-  word: QuarantineUpdate;
+  update: QuarantineUpdate;
 }
 
 /** A report that has not been answered. */
-interface Awaited {
+interface PendingReport {
   sentAt: number;
   revision: number;
 }
 
-/** A VM that has told its digest. */
-interface Listener {
-  heardAt: number;
+/** A VM that has sent its digest. */
+interface Peer {
+  receivedAt: number;
   answeredAt: number;
 }
 
 /** See the module's comment. Times are milliseconds of this VM's clock. */
 export class QuarantineExchange {
-  readonly #listeners = new Map<string, Listener>();
+  readonly #peers = new Map<string, Peer>();
   #holder: string | null = null;
-  /** Up to which change the holder is known to have what is known here. */
+  /** Revision of the local records up to which the holder has confirmed them. */
   #holderRevision = 0;
-  #awaited: Awaited[] = [];
-  /** Up to which change the listeners were told, and what they were told then. */
-  #toldRevision = 0;
-  #toldDigest = 0;
-  #toldAt = -Infinity;
-  #seedsToldAt = -Infinity;
+  #pending: PendingReport[] = [];
+  /** Revision and digest that were last sent to the peers. */
+  #publishedRevision = 0;
+  #publishedDigest = 0;
+  #publishedAt = -Infinity;
+  #seedsUpdatedAt = -Infinity;
   #reportedAt = -Infinity;
 
   private constructor(
@@ -77,7 +79,7 @@
     private readonly seeds: readonly string[],
   ) {}
 
-  /** An exchange that has heard nobody. */
+  /** Creates an exchange that has received no updates. */
   static create(
     quarantine: Quarantine,
     seeds: readonly string[],
@@ -85,43 +87,43 @@
     return new QuarantineExchange(quarantine, seeds);
   }
 
-  /** Whether something that has not been told to the holder yet should not wait for
-   * the next report; `vms` share what the holder can take. */
-  isUrgent(vms: number | null, now: number): boolean {
-    const last = this.#awaited.at(-1);
-    const told = last?.revision ?? this.#holderRevision;
-    if (this.#holder === null || this.quarantine.ownRevision <= told) {
+  /** Whether there are records that the holder lacks and that should not wait for the next
+   * regular report. `vmCount` is the number of VMs that send reports to the holder. */
+  isUrgent(vmCount: number | null, now: number): boolean {
+    const last = this.#pending.at(-1);
+    const sentRevision = last?.revision ?? this.#holderRevision;
+    if (this.#holder === null || this.quarantine.ownRevision <= sentRevision) {
       return false;
     }
-    return now - this.#reportedAt >= URGENT_PAUSE_PER_VM * (vms ?? 0);
+    return now - this.#reportedAt >= URGENT_INTERVAL_PER_VM * (vmCount ?? 0);
   }
 
-  /** What a VM says that asks others for all that they know. */
-  get question(): QuarantineUpdate {
+  /** An update with the digest only. The receiver answers with its own records. */
+  get digestUpdate(): QuarantineUpdate {
     return { digest: this.quarantine.digest, records: [] };
   }
 
-  /** The part of a report to the holder at an address that is sent now. */
+  /** Returns the quarantine part of a report to `holder` that is sent now. */
   report(holder: string, now: number): QuarantineUpdate {
     this.#follow(holder);
     const { revision } = this.quarantine;
     this.#reportedAt = now;
-    this.#awaited.push({ sentAt: now, revision });
-    if (this.#awaited.length > MAXIMUM_AWAITED) this.#awaited.shift();
-    return this.#word(this.#holderRevision, now, holder);
+    this.#pending.push({ sentAt: now, revision });
+    if (this.#pending.length > MAXIMUM_PENDING) this.#pending.shift();
+    return this.#createUpdate(this.#holderRevision, now, holder);
   }
 
-  /** The holder at an address has answered the report that was sent at `sentAt`. */
-  answered(holder: string, sentAt: number): void {
+  /** Records that the holder at address `holder` answered the report sent at `sentAt`. */
+  reportAnswered(holder: string, sentAt: number): void {
     if (holder !== this.#holder) return;
-    const index = this.#awaited.findLastIndex((each) => each.sentAt <= sentAt);
+    const index = this.#pending.findLastIndex((each) => each.sentAt <= sentAt);
     if (index < 0) return;
-    const { revision } = this.#awaited[index];
+    const { revision } = this.#pending[index];
     this.#holderRevision = Math.max(this.#holderRevision, revision);
-    this.#awaited = this.#awaited.slice(index + 1);
+    this.#pending = this.#pending.slice(index + 1);
   }
 
-  /** Takes another VM's word; returns the answer to it, if it lacks something. */
+  /** Merges another VM's update; returns the answer to it, or null if none is needed. */
   receive(
     address: string,
     { digest, records }: QuarantineUpdate,
@@ -129,70 +131,71 @@
   ): QuarantineSend | null {
     this.quarantine.merge(records, now, address);
     if (digest === null) return null;
-    const known = this.#listeners.get(address);
-    const answeredAt = known?.answeredAt ?? -Infinity;
-    const listener = { heardAt: now, answeredAt };
-    this.#listeners.set(address, listener);
-    const isNew = known === undefined;
+    const previous = this.#peers.get(address);
+    const answeredAt = previous?.answeredAt ?? -Infinity;
+    const peer = { receivedAt: now, answeredAt };
+    this.#peers.set(address, peer);
+    const isNew = previous === undefined;
     if (digest === this.quarantine.digest && !isNew) return null;
-    if (now - answeredAt < ANSWER_PAUSE) return null;
-    listener.answeredAt = now;
-    const all = isNew
+    if (now - answeredAt < ANSWER_INTERVAL) return null;
+    peer.answeredAt = now;
+    const recordsToSend = isNew
       ? this.quarantine.suspects(now)
       : this.quarantine.notable(now);
-    const word = { digest: null, records: all };
-    return word.records.length === 0 ? null : { address, word };
+    const update = { digest: null, records: recordsToSend };
+    return update.records.length === 0 ? null : { address, update };
   }
 
-  /** Words that are due: news for those that listen here, and for the seeds while the
-   * holder has been silent for `silence` milliseconds. `vms` share the seeds. */
+  /** Returns the updates that are due: to peers, and to the seeds if the holder has been
+   * silent for `silence` milliseconds. `vmCount` is the number of VMs that update the
+   * seeds. */
   advance(
     silence: number,
-    vms: number | null,
+    vmCount: number | null,
     now: number,
   ): QuarantineSend[] {
     this.quarantine.expire(now);
-    const news = this.#tellListeners(now);
-    if (silence < HOLDER_SILENCE) return news;
-    return [...news, ...this.#tellSeeds(vms ?? 0, now)];
+    const updates = this.#updatePeers(now);
+    if (silence < HOLDER_TIMEOUT) return updates;
+    return [...updates, ...this.#updateSeeds(vmCount ?? 0, now)];
   }
 
-  #tellListeners(now: number): QuarantineSend[] {
+  #updatePeers(now: number): QuarantineSend[] {
     const { digest, revision } = this.quarantine;
-    const since = this.#toldRevision;
+    const since = this.#publishedRevision;
     if (revision === since) return [];
-    const pause = SUSPECTS_PAUSE_PER_VM * this.#listeners.size;
-    const isUrgent = digest !== this.#toldDigest;
-    if (!isUrgent && now - this.#toldAt < pause) return [];
-    this.#toldRevision = revision;
-    this.#toldDigest = digest;
-    this.#toldAt = now;
+    const interval = SUSPECTS_INTERVAL_PER_VM * this.#peers.size;
+    const isUrgent = digest !== this.#publishedDigest;
+    if (!isUrgent && now - this.#publishedAt < interval) return [];
+    this.#publishedRevision = revision;
+    this.#publishedDigest = digest;
+    this.#publishedAt = now;
     const records = this.quarantine.changesSince(since, now);
     if (records.length === 0) return [];
-    const word = { digest: null, records };
-    for (const [address, { heardAt }] of this.#listeners) {
-      if (now - heardAt > LISTENER_SILENCE) this.#listeners.delete(address);
+    const update = { digest: null, records };
+    for (const [address, { receivedAt }] of this.#peers) {
+      if (now - receivedAt > PEER_TIMEOUT) this.#peers.delete(address);
     }
-    return [...this.#listeners.keys()].map((address) => ({ address, word }));
+    return [...this.#peers.keys()].map((address) => ({ address, update }));
   }
 
-  #tellSeeds(vms: number, now: number): QuarantineSend[] {
+  #updateSeeds(vmCount: number, now: number): QuarantineSend[] {
     if (this.quarantine.revision === 0) return [];
-    const pause = Math.max(SEED_PAUSE, SEED_PAUSE_PER_VM * vms);
-    if (now - this.#seedsToldAt < pause) return [];
-    this.#seedsToldAt = now;
-    const word = this.#word(0, now);
-    return this.seeds.map((address) => ({ address, word }));
+    const interval = Math.max(SEED_INTERVAL, SEED_INTERVAL_PER_VM * vmCount);
+    if (now - this.#seedsUpdatedAt < interval) return [];
+    this.#seedsUpdatedAt = now;
+    const update = this.#createUpdate(0, now);
+    return this.seeds.map((address) => ({ address, update }));
   }
 
   #follow(holder: string): void {
     if (holder === this.#holder) return;
     this.#holder = holder;
     this.#holderRevision = 0;
-    this.#awaited = [];
+    this.#pending = [];
   }
 
-  #word(
+  #createUpdate(
     since: number,
     now: number,
     address: string | null = null,
--- a/src/core/exchange/quarantine_exchange_test.ts
+++ b/src/core/exchange/quarantine_exchange_test.ts
@@ -27,7 +27,7 @@
 
 /** Sends words on, and the answers to them. */
 function pass(from: Vm, words: QuarantineSend[], all: Vm[], now: number): void {
-  for (const { address, word } of words) {
+  for (const { address, update: word } of words) {
     const to = all.find((each) => each.address === address);
     const answer = to?.exchange.receive(from.address, word, now) ?? null;
     if (to !== undefined && answer !== null) pass(to, [answer], all, now);
@@ -41,11 +41,11 @@
     if (isLost) continue;
     pass(
       follower,
-      [{ address: holder.address, word }],
+      [{ address: holder.address, update: word }],
       [holder, ...followers],
       now,
     );
-    follower.exchange.answered(holder.address, now);
+    follower.exchange.reportAnswered(holder.address, now);
   }
   const news = holder.exchange.advance(0, followers.length + 1, now);
   pass(holder, news, followers, now);
--- a/src/core/exchange/quarantine_record.ts
+++ b/src/core/exchange/quarantine_record.ts
@@ -1,18 +1,20 @@
 /**
- * Keeps what is held back, or close to it, in the store, so that it outlives the loss of all VMs.
+ * Stores the records of requests that are quarantined, or close to it, so that they
+ * survive a failure of all VMs.
  *
- * The term holder writes it when the record lacks such a request, which
- * is seldom; every VM reads it at its start, with who holds the term. It is no
- * authority: what two holders write one after the other merges at its readers.
+ * The term holder writes them when the stored ones lack such a request, which is rare.
+ * Every VM reads them on startup, together with the address of the term holder. They need
+ * no locking: if two holders write one after the other, the readers merge what they wrote.
  *
  * @module
  */
 import type { CrashRecord, Quarantine } from "../quarantine/index.ts";
 
-/** Pause before a write that failed is made again, in milliseconds. */
-const REPEAT_PAUSE = 1_000;
+/** Delay before a failed write is retried, in milliseconds. */
+const RETRY_DELAY = 1_000;
 
-/** Writes what is held back; answered by `quarantine.written`. */
+/** Effect that writes crash records to the store. Its result is the event
+ * `quarantine.written`. */
 export interface QuarantineWrite {
   kind: "quarantine.write";
   records: CrashRecord[];
@@ -20,7 +22,7 @@
 
 /** See the module's comment. Times are milliseconds. */
 export class QuarantineRecord {
-  /** What is known to be recorded: requests with their rounds and ends. */
+  /** Keys of the records known to be in the store. */
   #recorded = new Set<string>();
   #writing: Set<string> | null = null;
   #dueAt = -Infinity;
@@ -28,40 +30,40 @@
 
   private constructor(private readonly quarantine: Quarantine) {}
 
-  /** The record of `quarantine`, of which nothing is known yet. */
+  /** Creates a record of `quarantine`; the contents of the store are not known yet. */
   static create(quarantine: Quarantine): QuarantineRecord {
     return new QuarantineRecord(quarantine);
   }
 
-  /** The record was read. */
+  /** Handles records read from the store. */
   read(records: readonly CrashRecord[], now: number): void {
-    this.#recorded = new Set(records.map(nameOf));
+    this.#recorded = new Set(records.map(keyOf));
     this.quarantine.merge(records, now);
   }
 
-  /** A write ended. */
-  written(isDone: boolean, now: number): void {
-    const names = this.#writing;
+  /** Handles the result of a write. */
+  written(hasSucceeded: boolean, now: number): void {
+    const keys = this.#writing;
     this.#writing = null;
-    if (isDone && names !== null) this.#recorded = names;
-    else this.#dueAt = now + REPEAT_PAUSE;
+    if (hasSucceeded && keys !== null) this.#recorded = keys;
+    else this.#dueAt = now + RETRY_DELAY;
     this.#revision = -1;
   }
 
-  /** The write that is due at the term holder, or null. */
+  /** Returns the write that is due on the term holder, or null. */
   advance(now: number): QuarantineWrite | null {
     if (this.#writing !== null || now < this.#dueAt) return null;
     const { recordRevision } = this.quarantine;
     if (recordRevision === this.#revision) return null;
     this.#revision = recordRevision;
     const records = this.quarantine.recordable(now);
-    const names = records.map(nameOf);
-    if (names.every((name) => this.#recorded.has(name))) return null;
-    this.#writing = new Set(names);
+    const keys = records.map(keyOf);
+    if (keys.every((key) => this.#recorded.has(key))) return null;
+    this.#writing = new Set(keys);
     return { kind: "quarantine.write", records };
   }
 }
 
-function nameOf({ request, round, runs }: CrashRecord): string {
+function keyOf({ request, round, runs }: CrashRecord): string {
   return `${request} ${round} ${runs.length}`;
 }
--- a/src/core/exchange/state_exchange.ts
+++ b/src/core/exchange/state_exchange.ts
@@ -18,7 +18,7 @@
   readonly #request: StateRequest;
 
   private constructor(
-    private readonly beliefs: Beliefs,
+    private readonly clusterState: Beliefs,
     private readonly store: StoreHealth,
     private readonly emit: Emit,
     seeds: readonly string[],
@@ -29,26 +29,26 @@
   /** Creates an exchange that sends requests to the term holder and, until a
    * configuration is known, to the VMs at `seeds`. */
   static create(
-    beliefs: Beliefs,
+    clusterState: Beliefs,
     store: StoreHealth,
     emit: Emit,
     seeds: readonly string[],
   ): StateExchange {
-    return new StateExchange(beliefs, store, emit, seeds);
+    return new StateExchange(clusterState, store, emit, seeds);
   }
 
-  /** Sends the requests that are due. `question` is their quarantine part. */
+  /** Sends the requests that are due. `quarantineUpdate` is their quarantine part. */
   advance(
-    question: QuarantineUpdate,
+    quarantineUpdate: QuarantineUpdate,
     holder: string | null,
     now: number,
   ): void {
     const requests = this.#request.advance(
       now,
-      this.beliefs.knowledge(),
-      question,
+      this.clusterState.knowledge(),
+      quarantineUpdate,
       holder,
-      !this.beliefs.catalog.isKnown,
+      !this.clusterState.catalog.isKnown,
       this.store.isLost,
     );
     this.emit(...requests);
@@ -56,25 +56,26 @@
 
   /** Sends this VM's state to a VM that requested it. Parts that the requester already
    * has are left out if it accepts partial state. */
-  tellState(address: string, wanted: MessageOf<"state.wanted">): void {
-    const { catalog, fleet, directory, holder } = this.beliefs;
+  sendState(address: string, request: MessageOf<"state.wanted">): void {
+    const { catalog, fleet, directory, holder } = this.clusterState;
     const { configuration } = catalog;
     if (configuration === null) return;
-    const takesParts = wanted.takesParts ?? false;
-    const isKnown = takesParts && wanted.configuration >= catalog.version;
+    const mayOmitParts = request.takesParts ?? false;
+    const hasConfiguration = mayOmitParts &&
+      request.configuration >= catalog.version;
     const { term, version } = directory.position;
-    const areKeysKnown = takesParts && wanted.term === term &&
-      wanted.version === version;
+    const hasAssignments = mayOmitParts && request.term === term &&
+      request.version === version;
     this.emit({
       kind: "peer.send",
       address,
       message: {
         kind: "state.told",
-        ...this.beliefs.knowledge(),
+        ...this.clusterState.knowledge(),
         state: {
-          ...(isKnown ? {} : { configuration }),
+          ...(hasConfiguration ? {} : { configuration }),
           servers: fleet.all().map((each) => each.entry),
-          assignments: areKeysKnown ? [] : directory.assignments,
+          assignments: hasAssignments ? [] : directory.assignments,
           holder,
         },
       },
@@ -84,16 +85,16 @@
   /** Applies another VM's state, unless the store is reachable and a configuration is
    * known. Returns the term holder named in the state, or null if there is none or the
    * state was ignored. */
-  takeState(
+  applyState(
     { state }: MessageOf<"state.told">,
     now: number,
   ): HolderAddress | null {
-    const { beliefs } = this;
-    if (!this.store.isLost && beliefs.catalog.isKnown) return null;
+    const { clusterState } = this;
+    if (!this.store.isLost && clusterState.catalog.isKnown) return null;
     const { configuration, servers, assignments, holder } = state;
-    if (configuration !== undefined) beliefs.configure(configuration);
-    beliefs.changeServers(beliefs.fleet.learn(servers, now), now);
-    beliefs.assign(assignments);
+    if (configuration !== undefined) clusterState.configure(configuration);
+    clusterState.changeServers(clusterState.fleet.learn(servers, now), now);
+    clusterState.assign(assignments);
     return holder;
   }
 }
--- a/src/core/exchange/term_publication.ts
+++ b/src/core/exchange/term_publication.ts
@@ -1,15 +1,15 @@
 /**
- * What the term holder tells the other VMs: each change of the assignments and
- * of the registry once, and to a VM that has missed some just those.
+ * Publishes the term holder's state to its followers: each change of the assignments and
+ * of the registry once, and to a VM that has missed changes only those.
  *
- * Every message goes to all followers, so what is told twice is paid for as many
- * times as there are VMs: whole assignments to each VM that was a change behind
- * when it reported made 11 Mbit/s with 90 followers.
+ * Every message is multiplied by the number of followers, so nothing is sent twice
+ * without need. With 90 followers, sending all assignments to each VM that was one change
+ * behind when it reported took 11 Mbit/s.
  *
  * @module
  */
 import type { Beliefs, Emit } from "../beliefs.ts";
-import { CrowdingWatch } from "./crowding_watch.ts";
+import { OverloadMonitor } from "./crowding_watch.ts";
 import type { ServerSamples } from "../fleet/index.ts";
 import type { KeyLoads, TermCampaign, TermHolder } from "../keyspace/index.ts";
 import {
@@ -25,83 +25,84 @@
 import type { RegistryNews } from "../registry/index.ts";
 import type { StoreHealth } from "../store_health.ts";
 
-/** Time that a published change may need to reach a follower, in milliseconds:
- * a report that crosses it is answered as if it had arrived. */
-const IN_FLIGHT = 120;
-/** Published versions that are kept as places from which a follower can be told
- * what has changed: some seconds of a busy holder. */
-const MAXIMUM_MARKS = 256;
+/** Time that a published change may take to reach a follower, in milliseconds. During this
+ * time a report without the change is answered as if the change had arrived. */
+const PROPAGATION_TIME = 120;
+/** Maximum number of published versions to which a follower can be compared to send it
+ * only the changes. Covers some seconds of a busy holder. */
+const MAXIMUM_VERSIONS = 256;
 
-/** A version that was published. */
-interface Mark {
+/** A published version of the assignments. */
+interface PublishedVersion {
   version: number;
   publishedAt: number;
-  /** How far each table had changed. */
+  /** Revision of each service's assignment table at this version. */
   revisions: ReadonlyMap<string, number>;
 }
 
 /** See the module's comment. Times are milliseconds of this VM's clock. */
-export class TermPublication {
+export class StatePublisher {
   readonly #link = HolderLink.create();
-  readonly #crowding: CrowdingWatch;
+  readonly #overload: OverloadMonitor;
   #published = { term: 0, version: 0 };
   #publishedAt = -Infinity;
-  /** Versions of this term, oldest first. */
-  #marks: Mark[] = [];
-  /** Position up to which followers were told the registry, or null. */
+  /** Published versions of this term, oldest first. */
+  #versions: PublishedVersion[] = [];
+  /** Registry position up to which changes were published, or null. */
   #publishedPosition: number | null = null;
-  /** Version of the configuration, and since when it is known here. */
+  /** Version of the configuration, and when this VM first had it. */
   #configuration = { version: -1, since: -Infinity };
-  /** All assignments, by their term, and the configuration, by its version. */
+  /** Pacing of all assignments, by term, and of the configuration, by version. */
   readonly #assignmentPacing = MessagePacing.create();
   readonly #configurationPacing = MessagePacing.create();
-  /** Reports that came while changes waited to be published. */
-  readonly #owed = new Map<string, FollowerReport>();
+  /** Reports, by address, that were received while changes waited to be published. */
+  readonly #deferredReports = new Map<string, FollowerReport>();
 
   private constructor(
-    private readonly beliefs: Beliefs,
+    private readonly clusterState: Beliefs,
     private readonly campaign: TermCampaign,
     private readonly loads: KeyLoads,
     private readonly store: StoreHealth,
     private readonly emit: Emit,
   ) {
-    this.#crowding = CrowdingWatch.create(beliefs, loads);
+    this.#overload = OverloadMonitor.create(clusterState, loads);
   }
 
-  /** A publication that has told nobody anything. */
+  /** Creates a publisher that has published nothing. */
   static create(
-    beliefs: Beliefs,
+    clusterState: Beliefs,
     campaign: TermCampaign,
     loads: KeyLoads,
     store: StoreHealth,
     emit: Emit,
-  ): TermPublication {
-    return new TermPublication(beliefs, campaign, loads, store, emit);
+  ): StatePublisher {
+    return new StatePublisher(clusterState, campaign, loads, store, emit);
   }
 
-  /** Number of VMs that are heard, this one included. */
-  vms(now: number): number {
+  /** Number of live VMs, including this one. */
+  vmCount(now: number): number {
     return this.#link.vmCount(now);
   }
 
-  /** Tells those that leave the store's news to this VM, if it was the holder, who
-   * is now: they would miss it for as long as they take to find this one silent. */
-  tellSuccessor(holder: HolderAddress): PeerSend[] {
-    const knowledge = this.beliefs.knowledge();
-    return this.#link.announceSuccessor(knowledge, holder);
+  /** Sends the address of the new holder to those that receive store updates from this VM,
+   * if it was the holder. They would otherwise learn of it only after their timeout for
+   * messages from this VM. */
+  announceSuccessor(holder: HolderAddress): PeerSend[] {
+    const senderState = this.clusterState.knowledge();
+    return this.#link.announceSuccessor(senderState, holder);
   }
 
-  /** Tells all followers what has changed. */
+  /** Publishes what has changed. */
   advance(holder: TermHolder, now: number): void {
     this.#publishRegistry();
-    this.#crowding.advance(holder, now);
-    if (!this.#isPublished(holder)) this.beliefs.assign(holder.assignments);
+    this.#overload.advance(holder, now);
+    if (!this.#isSent(holder)) this.clusterState.assign(holder.assignments);
     const isDue = now >= this.#publishedAt + this.#link.publishInterval;
     if (isDue) this.#publish(holder, now);
   }
 
-  /** Takes a follower's report and answers it. */
-  reported(
+  /** Handles a follower's report and answers it. */
+  reportReceived(
     holder: TermHolder,
     address: string,
     report: FollowerReport,
@@ -110,57 +111,60 @@
     for (const { service, keys } of report.samples) {
       for (const key of keys) this.loads.of(service).record(key, now);
     }
-    this.#observe(report, now);
-    this.beliefs.hearRates(report.rates ?? [], now);
+    this.#recordLatencies(report, now);
+    this.clusterState.hearRates(report.rates ?? [], now);
     this.campaign.hearFitness(report.fitness, now);
     this.#link.reportReceived(address, report.isTold ?? false, now);
-    const news = this.#news(report, now);
+    const registryChanges = this.#registryChanges(report, now);
     this.emit(
       this.#link.answerReport(
         address,
-        this.#word(now),
-        news,
-        this.#crowding.current,
+        this.#holderState(now),
+        registryChanges,
+        this.#overload.current,
         report.sentAt,
       ),
     );
-    this.#tellConfiguration(address, report, now);
-    if (this.#isPublished(holder)) this.#catchUp(holder, address, report, now);
-    else this.#owed.set(address, report);
+    this.#sendConfiguration(address, report, now);
+    if (this.#isSent(holder)) this.#catchUp(holder, address, report, now);
+    else this.#deferredReports.set(address, report);
   }
 
-  /** Takes what a follower measured of the runs that are listed here; by its
-   * position it may know an older run of some server. */
-  #observe({ latencies, position }: FollowerReport, now: number): void {
-    const { fleet, registry } = this.beliefs;
-    const isOfSameRun = ({ server }: ServerSamples) =>
+  /** Records a follower's latencies of servers whose current incarnation it knows. Its
+   * registry position shows whether it may have measured an older one. */
+  #recordLatencies({ latencies, position }: FollowerReport, now: number): void {
+    const { fleet, registry } = this.clusterState;
+    const isOfSameIncarnation = ({ server }: ServerSamples) =>
       registry.runSince(server) <= (position ?? 0);
-    fleet.observe(latencies.filter(isOfSameRun), now);
+    fleet.observe(latencies.filter(isOfSameIncarnation), now);
   }
 
-  /** Tells a follower the configuration if it lacks it: at once where it leaves
-   * the store's news to the holder, else once a read of its own would have brought
-   * it, since the call that waits for news may have lost its answer. */
-  #tellConfiguration(
+  /** Sends a follower the configuration if it lacks it. A follower that receives store
+   * updates from this VM gets it immediately. Any other one gets it after the time in
+   * which its own long poll would have delivered it, because the response to the poll may
+   * have been lost. */
+  #sendConfiguration(
     address: string,
     report: FollowerReport,
     now: number,
   ): void {
-    const { configuration, version } = this.beliefs.catalog;
+    const { configuration, version } = this.clusterState.catalog;
     if (version !== this.#configuration.version) {
       this.#configuration = { version, since: now };
     }
-    const isSettled = now - this.#configuration.since > IN_FLIGHT;
+    const isPropagated = now - this.#configuration.since > PROPAGATION_TIME;
     if (configuration === null || report.configuration >= version) return;
-    if (!isSettled && !report.isTold) return;
+    if (!isPropagated && !report.isTold) return;
     const { sentAt } = report;
     const pacing = this.#configurationPacing;
     if (!pacing.maySend(address, version, sentAt, now)) return;
-    const knowledge = this.beliefs.knowledge(this.#published);
-    this.emit(this.#link.sendConfiguration(address, knowledge, configuration));
+    const senderState = this.clusterState.knowledge(this.#published);
+    this.emit(
+      this.#link.sendConfiguration(address, senderState, configuration),
+    );
   }
 
-  /** Tells a follower what it has missed, if anything. */
+  /** Sends a follower the changes that it lacks, if any. */
   #catchUp(
     holder: TermHolder,
     address: string,
@@ -168,22 +172,27 @@
     now: number,
   ): void {
     const { term, version } = report;
-    const isOfTerm = term === this.#published.term;
-    if (isOfTerm && version === this.#published.version) return;
-    const index = isOfTerm
-      ? this.#marks.findIndex((mark) => mark.version === version)
+    const isCurrentTerm = term === this.#published.term;
+    if (isCurrentTerm && version === this.#published.version) return;
+    const index = isCurrentTerm
+      ? this.#versions.findIndex((each) => each.version === version)
       : -1;
-    const next = this.#marks[index + 1];
+    const next = this.#versions[index + 1];
     if (index < 0 || next === undefined) {
-      this.#tellAll(holder, address, report, now);
-    } else if (now - next.publishedAt > IN_FLIGHT) {
-      const changes = this.#changesSince(holder, this.#marks[index]);
-      this.emit(this.#link.sendChanges(address, this.#word(now), changes));
+      this.#sendAssignments(holder, address, report, now);
+    } else if (now - next.publishedAt > PROPAGATION_TIME) {
+      const changes = this.#changesSince(
+        holder,
+        this.#versions[index],
+      );
+      this.emit(
+        this.#link.sendChanges(address, this.#holderState(now), changes),
+      );
     }
   }
 
-  /** Tells a follower everything, unless that is on its way already. */
-  #tellAll(
+  /** Sends a follower all assignments unless they are already in transit. */
+  #sendAssignments(
     holder: TermHolder,
     address: string,
     { sentAt }: FollowerReport,
@@ -191,78 +200,84 @@
   ): void {
     const { term } = holder;
     if (!this.#assignmentPacing.maySend(address, term, sentAt, now)) return;
-    this.emit(this.#link.sendAssignments(address, this.#bulletin(holder, now)));
+    this.emit(this.#link.sendAssignments(address, this.#snapshot(holder, now)));
   }
 
-  #isPublished({ term, version }: TermHolder): boolean {
+  /** Whether the newest assignments of the holder have been published. */
+  #isSent({ term, version }: TermHolder): boolean {
     return term === this.#published.term && version === this.#published.version;
   }
 
   #publish(holder: TermHolder, now: number): void {
-    if (this.#isPublished(holder)) return;
+    if (this.#isSent(holder)) return;
     const { term, version } = holder;
     const isNewTerm = term !== this.#published.term;
-    const last = isNewTerm ? undefined : this.#marks.at(-1);
+    const last = isNewTerm ? undefined : this.#versions.at(-1);
     this.#published = { term, version };
     this.#publishedAt = now;
     if (last === undefined) {
-      this.#marks = [];
-      this.emit(...this.#link.publishAssignments(this.#bulletin(holder, now)));
+      this.#versions = [];
+      this.emit(...this.#link.publishAssignments(this.#snapshot(holder, now)));
     } else {
       const changes = this.#changesSince(holder, last);
-      this.emit(...this.#link.publishChanges(this.#word(now), changes));
+      this.emit(...this.#link.publishChanges(this.#holderState(now), changes));
     }
     const { revisions } = holder;
-    this.#marks.push({ version, publishedAt: now, revisions });
-    if (this.#marks.length > MAXIMUM_MARKS) this.#marks.shift();
-    for (const [address, report] of this.#owed) {
+    this.#versions.push({ version, publishedAt: now, revisions });
+    if (this.#versions.length > MAXIMUM_VERSIONS) this.#versions.shift();
+    for (const [address, report] of this.#deferredReports) {
       this.#catchUp(holder, address, report, now);
     }
-    this.#owed.clear();
+    this.#deferredReports.clear();
   }
 
   #changesSince(
     holder: TermHolder,
-    { version, revisions }: Mark,
+    { version, revisions }: PublishedVersion,
   ): AssignmentChanges {
     return { since: version, assignments: holder.changesSince(revisions) };
   }
 
   #publishRegistry(): void {
-    const { registry } = this.beliefs;
+    const { registry } = this.clusterState;
     const since = this.#publishedPosition;
     this.#publishedPosition = registry.position;
     if (since === null || since === registry.position) return;
-    const news = registry.news(since, null);
-    if (news === null || news.entries.length + news.removed.length === 0) {
+    const changes = registry.news(since, null);
+    if (
+      changes === null || changes.entries.length + changes.removed.length === 0
+    ) {
       return;
     }
-    const knowledge = this.beliefs.knowledge(this.#published);
-    this.emit(...this.#link.publishRegistry(knowledge, news));
+    const senderState = this.clusterState.knowledge(this.#published);
+    this.emit(...this.#link.publishRegistry(senderState, changes));
   }
 
-  /** What the sender of a report does not know of the registry. */
-  #news(
+  /** Registry changes that the sender of a report lacks, or null. */
+  #registryChanges(
     { position, sentAt }: FollowerReport,
     now: number,
   ): RegistryNews | null {
-    const { registry } = this.beliefs;
+    const { registry } = this.clusterState;
     if (position === null) return null;
-    // Older than this answer by the age of what is known here; the follower
-    // reckons from when it asked, since messages may be held up on their way.
+    // When the registry data was current, on the follower's clock. Its age is subtracted
+    // from when the follower sent the report, since messages can be delayed.
     return registry.news(position, sentAt - (now - registry.knownAt));
   }
 
-  #word(now: number): HolderState {
+  #holderState(now: number): HolderState {
     return {
-      ...this.beliefs.knowledge(this.#published),
-      vms: this.vms(now),
+      ...this.clusterState.knowledge(this.#published),
+      vms: this.vmCount(now),
       fittest: this.campaign.fittest(now),
       storeSilence: Math.max(0, this.store.silence(now)),
     };
   }
 
-  #bulletin(holder: TermHolder, now: number): AssignmentSnapshot {
-    return { holderState: this.#word(now), assignments: holder.assignments };
+  #snapshot(holder: TermHolder, now: number): AssignmentSnapshot {
+    return {
+      holderState: this.#holderState(now),
+      assignments: holder.assignments,
+    };
   }
 }
--- a/src/core/exchange/term_publication_test.ts
+++ b/src/core/exchange/term_publication_test.ts
@@ -12,15 +12,15 @@
 } from "../keyspace/index.ts";
 import type { FollowerReport } from "../peers/index.ts";
 import { StoreHealth } from "../store_health.ts";
-import { TermPublication } from "./term_publication.ts";
+import { StatePublisher } from "./term_publication.ts";
 
 /** A publication of a holder with 40 servers, and what it sends. */
 function createPublication() {
   const effects: EntryEffect[] = [];
-  const beliefs = Beliefs.create((...some) => effects.push(...some));
+  const clusterState = Beliefs.create((...some) => effects.push(...some));
   const loads = KeyLoads.create();
   const timing = leaseTimingSchema.parse({});
-  const { fleet } = beliefs;
+  const { fleet } = clusterState;
   const campaign = TermCampaign.create(timing, fleet, loads, 1);
   const servers = Array.from(
     { length: 40 },
@@ -30,8 +30,8 @@
   let orders = 0;
   const next = () => orders += 1;
   const holder = TermHolder.create(1, [], timing, fleet, loads, next, 0);
-  const publication = TermPublication.create(
-    beliefs,
+  const publication = StatePublisher.create(
+    clusterState,
     campaign,
     loads,
     StoreHealth.create(),
@@ -64,19 +64,19 @@
       }
     }
   };
-  return { beliefs, publication, holder, report, sent, work };
+  return { clusterState, publication, holder, report, sent, work };
 }
 
 test("publication: a new follower is told all, one that keeps up nothing twice", (t) => {
   const { publication, holder, report, sent, work } = createPublication();
   work(0);
   publication.advance(holder, 0);
-  publication.reported(holder, "f", report(0), 10);
+  publication.reportReceived(holder, "f", report(0), 10);
   t.deepEqual(sent().map(({ kind }) => kind), ["assignments.told"]);
   work(20);
   publication.advance(holder, 20);
   t.deepEqual(sent().map(({ kind }) => kind), ["assignments.changed"]);
-  publication.reported(holder, "f", report(holder.version), 30);
+  publication.reportReceived(holder, "f", report(holder.version), 30);
   t.deepEqual(sent(), []);
 });
 
@@ -85,49 +85,49 @@
   work(0);
   publication.advance(holder, 0);
   const before = holder.version;
-  publication.reported(holder, "f", report(before), 10);
+  publication.reportReceived(holder, "f", report(before), 10);
   work(20);
   publication.advance(holder, 20);
   sent();
-  publication.reported(holder, "f", report(before), 50);
+  publication.reportReceived(holder, "f", report(before), 50);
   t.deepEqual(sent(), [], "the change is on its way");
-  publication.reported(holder, "f", report(before), 500);
+  publication.reportReceived(holder, "f", report(before), 500);
   const [message] = sent();
   t.is(message.kind, "assignments.changed");
   if (message.kind === "assignments.changed") t.is(message.since, before);
 });
 
 test("publication: a configuration goes at once to those that leave the news to the holder", (t) => {
-  const { beliefs, publication, holder, report, sent, work } =
+  const { clusterState, publication, holder, report, sent, work } =
     createPublication();
   work(0);
   publication.advance(holder, 0);
-  publication.reported(holder, "told", report(holder.version), 10);
-  publication.reported(holder, "reading", report(holder.version), 10);
+  publication.reportReceived(holder, "told", report(holder.version), 10);
+  publication.reportReceived(holder, "reading", report(holder.version), 10);
   sent();
-  beliefs.configure(emptyConfiguration(2));
+  clusterState.configure(emptyConfiguration(2));
   const told = { ...report(holder.version), isTold: true };
-  publication.reported(holder, "told", told, 20);
+  publication.reportReceived(holder, "told", told, 20);
   t.deepEqual(sent().map(({ kind }) => kind), ["configuration.told"]);
   // The other one's own read is on its way.
-  publication.reported(holder, "reading", report(holder.version), 30);
+  publication.reportReceived(holder, "reading", report(holder.version), 30);
   t.deepEqual(sent(), []);
 });
 
 test("publication: those that leave the news to the holder are told of the successor, once", (t) => {
   const { publication, holder, report } = createPublication();
-  publication.reported(holder, "f", { ...report(0), isTold: true }, 10);
-  publication.reported(holder, "reading", report(0), 10);
+  publication.reportReceived(holder, "f", { ...report(0), isTold: true }, 10);
+  publication.reportReceived(holder, "reading", report(0), 10);
   const successor = { term: 2, vm: "w", address: "next:1", fitness: 1 };
-  const messages = publication.tellSuccessor(successor);
+  const messages = publication.announceSuccessor(successor);
   t.deepEqual(messages.map(({ address }) => address), ["f"]);
   t.is(messages[0].message.kind, "holder.changed");
-  t.deepEqual(publication.tellSuccessor(successor), []);
+  t.deepEqual(publication.announceSuccessor(successor), []);
 });
 
 test("publication: what a follower measured of the older run says nothing of the new one", (t) => {
-  const { beliefs, publication, holder, report } = createPublication();
-  const { fleet, registry } = beliefs;
+  const { clusterState, publication, holder, report } = createPublication();
+  const { fleet, registry } = clusterState;
   const older = fleet.get("i-0")!.entry;
   const restarted = { ...older, incarnation: 100 };
   const list = (position: number, entry: BackendServer) => {
@@ -144,7 +144,7 @@
   list(5, older);
   list(7, restarted);
   const measured = (position: number | null) =>
-    publication.reported(holder, "f", {
+    publication.reportReceived(holder, "f", {
       ...report(0),
       latencies: [{ server: "i-0", mean: 900, count: 3 }],
       position,
@@ -172,7 +172,7 @@
   publication.advance(holder, 0);
   const told: number[] = [];
   for (let now = 10; now <= 2_000; now += 60) {
-    publication.reported(holder, "f", report(0), now);
+    publication.reportReceived(holder, "f", report(0), now);
     if (sent().length > 0) told.push(now);
   }
   t.deepEqual(told, [10, 910, 1_810]);
@@ -183,7 +183,7 @@
   work(0);
   publication.advance(holder, 0);
   const reported = (sentAt: number, now: number) => {
-    publication.reported(holder, "f", { ...report(0), sentAt }, now);
+    publication.reportReceived(holder, "f", { ...report(0), sentAt }, now);
     return sent().length;
   };
   t.is(reported(5_000, 10), 1);
@@ -196,8 +196,8 @@
   const { publication, holder, report, sent, work } = createPublication();
   work(0);
   publication.advance(holder, 0);
-  publication.reported(holder, "f", report(0), 10);
-  publication.reported(holder, "g", report(0), 20);
+  publication.reportReceived(holder, "f", report(0), 10);
+  publication.reportReceived(holder, "g", report(0), 20);
   t.deepEqual(sent().map(({ kind }) => kind), [
     "assignments.told",
     "assignments.told",
@@ -207,12 +207,12 @@
 test("publication: reports between two publications wait for the next", (t) => {
   const { publication, holder, report, sent, work } = createPublication();
   for (let i = 0; i < 90; i++) {
-    publication.reported(holder, `f-${i}`, report(0), 0);
+    publication.reportReceived(holder, `f-${i}`, report(0), 0);
   }
   publication.advance(holder, 0);
   sent();
   work(10);
-  publication.reported(holder, "f-0", report(0), 20);
+  publication.reportReceived(holder, "f-0", report(0), 20);
   t.deepEqual(sent(), []);
   work(30);
   publication.advance(holder, 100);
@@ -223,11 +223,12 @@
 // It was told it again with each, which kept the link full: the holder's answers
 // came late, and the follower took it for lost.
 test("publication: a configuration that is on its way is not told again", (t) => {
-  const { beliefs, publication, holder, report, sent } = createPublication();
-  beliefs.configure(emptyConfiguration(2));
+  const { clusterState, publication, holder, report, sent } =
+    createPublication();
+  clusterState.configure(emptyConfiguration(2));
   const told = (sentAt: number) => {
     const behind = { ...report(0), isTold: true, sentAt };
-    publication.reported(holder, "f", behind, sentAt);
+    publication.reportReceived(holder, "f", behind, sentAt);
     return sent().some(({ kind }) => kind === "configuration.told");
   };
   t.deepEqual([told(0), told(500), told(1_000)], [true, false, true]);
@@ -236,18 +237,24 @@
 });
 
 test("publication: a follower that lacks the configuration for a while is told it", (t) => {
-  const { beliefs, publication, holder, report, sent } = createPublication();
+  const { clusterState, publication, holder, report, sent } =
+    createPublication();
   const limits = {
     maximumHeaderBytes: 1,
     maximumBodyBytes: 1,
     headerTimeout: 1,
     idleTimeout: 1,
   };
-  beliefs.configure({ version: 7, routes: [], services: [], limits });
-  publication.reported(holder, "f", report(0), 0);
+  clusterState.configure({ version: 7, routes: [], services: [], limits });
+  publication.reportReceived(holder, "f", report(0), 0);
   t.false(sent().some(({ kind }) => kind === "configuration.told"));
-  publication.reported(holder, "f", report(0), 500);
+  publication.reportReceived(holder, "f", report(0), 500);
   t.true(sent().some(({ kind }) => kind === "configuration.told"));
-  publication.reported(holder, "f", { ...report(0), configuration: 7 }, 1_000);
+  publication.reportReceived(
+    holder,
+    "f",
+    { ...report(0), configuration: 7 },
+    1_000,
+  );
   t.false(sent().some(({ kind }) => kind === "configuration.told"));
 });
--- a/src/core/exchange/token_exchange.ts
+++ b/src/core/exchange/token_exchange.ts
@@ -19,51 +19,53 @@
   readonly #buckets = TokenBuckets.create();
   /** Whether the holder supports token requests. A holder of an older version closes the
    * connection when it receives one. */
-  #isGranting = false;
+  #hasTokenSupport = false;
 
   private constructor(
-    private readonly beliefs: Beliefs,
+    private readonly clusterState: Beliefs,
     private readonly emit: Emit,
     private readonly ownAddress: string,
-    vms: () => number | null,
+    vmCount: () => number | null,
     draw: () => number,
   ) {
     this.tokens = RateTokens.create(
       {
-        ask: (server, isUrgent, now) => this.#ask(server, isUrgent, now),
+        ask: (server, isUrgent, now) =>
+          this.#requestToken(server, isUrgent, now),
       },
-      vms,
+      vmCount,
       draw,
     );
   }
 
-  /** The exchange of the VM at `ownAddress`. */
+  /** Creates the exchange of the VM at `ownAddress`. */
   static create(
-    beliefs: Beliefs,
+    clusterState: Beliefs,
     emit: Emit,
     ownAddress: string,
-    vms: () => number | null,
+    vmCount: () => number | null,
     draw: () => number,
   ): TokenExchange {
-    return new TokenExchange(beliefs, emit, ownAddress, vms, draw);
+    return new TokenExchange(clusterState, emit, ownAddress, vmCount, draw);
   }
 
-  /** The VM at an address is the term holder from now on. */
+  /** Makes the VM at address `holder` the term holder. */
   follow(holder: string, now: number): void {
-    this.#isGranting = false;
+    this.#hasTokenSupport = false;
     if (holder === this.ownAddress) this.#buckets.begin(now);
   }
 
-  /** The holder has answered a report; `isGranting` if it supports token requests. */
-  holderAnswered(isGranting: boolean): void {
-    this.#isGranting = isGranting;
+  /** Handles the holder's answer to a report, which shows whether it supports token
+   * requests. */
+  holderAnswered(hasTokenSupport: boolean): void {
+    this.#hasTokenSupport = hasTokenSupport;
   }
 
-  /** Takes another VM's message. */
+  /** Handles a message from the VM at `address`. */
   receive(address: string, message: TokenMessage, now: number): void {
     const { server } = message;
     if (message.kind === "token.told") {
-      if (address !== this.beliefs.holder?.address) return;
+      if (address !== this.clusterState.holder?.address) return;
       return this.tokens.told(server, message, now);
     }
     const { requestsPerSecond, isUrgent } = message;
@@ -74,19 +76,19 @@
       address,
       message: {
         kind: "token.told",
-        ...this.beliefs.knowledge(),
+        ...this.clusterState.knowledge(),
         server,
         ...answer,
       },
     });
   }
 
-  #ask(
+  #requestToken(
     { id: server }: TrackedServer,
     isUrgent: boolean,
     now: number,
   ): TokenAnswer | "unreachable" | null {
-    const address = this.beliefs.holder?.address;
+    const address = this.clusterState.holder?.address;
     const requestsPerSecond = this.#limit(server, now);
     if (address === undefined || requestsPerSecond === null) {
       return "unreachable";
@@ -94,13 +96,13 @@
     if (address === this.ownAddress) {
       return this.#buckets.take(server, requestsPerSecond, isUrgent, now);
     }
-    if (!this.#isGranting) return "unreachable";
+    if (!this.#hasTokenSupport) return "unreachable";
     this.emit({
       kind: "peer.send",
       address,
       message: {
         kind: "token.asked",
-        ...this.beliefs.knowledge(),
+        ...this.clusterState.knowledge(),
         server,
         requestsPerSecond,
         isUrgent,
@@ -110,6 +112,6 @@
   }
 
   #limit(server: string, now: number): number | null {
-    return this.beliefs.fleet.get(server)?.rate.current(now) ?? null;
+    return this.clusterState.fleet.get(server)?.rate.current(now) ?? null;
   }
 }
--- a/src/core/exchange/token_exchange_test.ts
+++ b/src/core/exchange/token_exchange_test.ts
@@ -19,18 +19,18 @@
   return addresses.map((address) => {
     const sent: PeerSend[] = [];
     const emit = messageCollector(sent);
-    const beliefs = Beliefs.create(emit);
-    beliefs.fleet.apply([backendServer("s")], [], 0);
-    const server = beliefs.fleet.get("s")!;
+    const clusterState = Beliefs.create(emit);
+    clusterState.fleet.apply([backendServer("s")], [], 0);
+    const server = clusterState.fleet.get("s")!;
     server.rate.answered(1_000 / INTERVAL, 0, 0);
     const exchange = TokenExchange.create(
-      beliefs,
+      clusterState,
       emit,
       address,
       () => 3,
       () => 0.5,
     );
-    beliefs.followHolder({ term: 1, vm: "h", address: "h", fitness: 1 });
+    clusterState.followHolder({ term: 1, vm: "h", address: "h", fitness: 1 });
     exchange.follow("h", 0);
     exchange.holderAnswered(true);
     const check = (now: number) =>
