--- a/src/core/exchange/peer_exchange.ts
+++ b/src/core/exchange/peer_exchange.ts
@@ -239,11 +239,11 @@
   recordRead(assignments: readonly Assignment[], now: number): void {
     const { holder, directory } = this.clusterState;
     const { term, version } = directory.position;
-    const isNews = assignments.some((each) =>
+    const hasNewer = assignments.some((each) =>
       each.term === holder?.term &&
       (each.term > term || each.version > version)
     );
-    if (holder === null || !isNews) return;
+    if (holder === null || !hasNewer) return;
     this.campaign.hearFitness(holder.fitness, now);
   }
 
@@ -358,9 +358,9 @@
     return this.clusterState.fleet.takeRates(now).slice(0, MAXIMUM_RATES);
   }
 
-  #applyRegistry(news: RegistryNews | null, now: number): void {
+  #applyRegistry(update: RegistryNews | null, now: number): void {
     const { registry, fleet } = this.clusterState;
-    const changes = news === null ? null : registry.take(news);
+    const changes = update === null ? null : registry.take(update);
     if (changes === null) return;
     // The store may have recovered without this VM noticing. Servers whose entries
     // expired during the outage get time to register again.
--- a/src/core/exchange/quarantine_exchange.ts
+++ b/src/core/exchange/quarantine_exchange.ts
@@ -99,7 +99,8 @@
     return now - this.#reportedAt >= URGENT_INTERVAL_PER_VM * (vmCount ?? 0);
   }
 
-  /** An update with the digest only. The receiver answers with its own records. */
+  /** An update with the digest only. If its digest differs, the receiver answers with
+   * its records. */
   get digestUpdate(): QuarantineUpdate {
     return { digest: this.quarantine.digest, records: [] };
   }
--- a/src/core/peers/follower_link.ts
+++ b/src/core/peers/follower_link.ts
@@ -14,7 +14,7 @@
 
 /** Time between two reports, in milliseconds. It limits how soon a busy key is noticed
  * and how old the registry data received from the holder can be. With half of it, busy
- * keys moved no sooner and an idle VM used a tenth more processor time. */
+ * keys moved no sooner, and the reports took a tenth of an idle VM's processor time. */
 const REPORT_INTERVAL = 500;
 /** Initial time between two reports while local state appears out of date, in
  * milliseconds. Doubles with each unanswered report. */
--- a/src/core/peers/holder_link.ts
+++ b/src/core/peers/holder_link.ts
@@ -17,11 +17,11 @@
 } from "./peer_message.ts";
 import { compactAssignment } from "./compact_assignment.ts";
 
-/** Time without a report after which a follower counts as gone, in milliseconds:
+/** Time without a report after which a follower counts as stopped, in milliseconds:
  * several reports are missing. */
 const FOLLOWER_TIMEOUT = 3_000;
 
-/** Maximum number of assignment changes sent per millisecond, over all followers. With
+/** Maximum number of messages with changes per millisecond, over all followers. With
  * 10 followers the holder can publish every 7 ms, with 73 every 49 ms. Requests for
  * moving keys wait for 110 ms or more. */
 const MAXIMUM_MESSAGE_RATE = 1.5;
@@ -120,11 +120,15 @@
   sendConfiguration(
     address: string,
     senderState: Knowledge,
-    told: Configuration,
+    configuration: Configuration,
   ): PeerSend {
-    const message = this.#configurationMessage?.told === told
+    const message = this.#configurationMessage?.told === configuration
       ? this.#configurationMessage
-      : { kind: "configuration.told" as const, ...senderState, told };
+      : {
+        kind: "configuration.told" as const,
+        ...senderState,
+        told: configuration,
+      };
     this.#configurationMessage = message;
     return { kind: "peer.send", address, message };
   }
