--- a/src/core/peers/follower_link.ts
+++ b/src/core/peers/follower_link.ts
@@ -110,7 +110,7 @@
     this.#receivedAt = now;
   }
 
-  /** Makes a report due soon because local state appears out of date. */
+  /** Makes the next report due soon because local state appears out of date. */
   outdated(): void {
     this.#urgentReport ??= {
       sentAt: Infinity,
