--- a/src/core/exchange/peer_exchange_test.ts
+++ b/src/core/exchange/peer_exchange_test.ts
@@ -79,8 +79,8 @@
     kind: "holder.announced",
     holder: { term: 1, vm: "v", address: HOLDER, fitness: 1 },
   });
-  /** Sends a request for key 7; returns the id of its attempt. */
   let exchange = 0;
+  /** Sends a request for key 7; returns the id of its attempt. */
   const send = (now: number): number => {
     exchange += 1;
     const effects = step(now, {
@@ -99,6 +99,7 @@
     if (start === undefined) throw new Error("the request was not sent");
     return start.attempt;
   };
+  /** Answers an attempt with 421 as the server `i-1`. */
   const refuse = (now: number, attempt: number): EntryEffect[] =>
     step(now, {
       kind: "attempt.ended",
@@ -112,6 +113,7 @@
         load: null,
       },
     });
+  /** Answers the report sent at `answersTo` as the holder. */
   const answer = (now: number, answersTo: number): EntryEffect[] =>
     step(now, {
       kind: "peer.received",
@@ -134,6 +136,7 @@
   return { entry, step, send, refuse, answer, reportTimes };
 }
 
+/** Counts the reports to the holder among the effects. */
 function reports(effects: readonly EntryEffect[]): number {
   return effects.filter((each) =>
     each.kind === "peer.send" && each.address === HOLDER &&
