--- a/src/core/exchange/token_exchange_test.ts
+++ b/src/core/exchange/token_exchange_test.ts
@@ -9,28 +9,28 @@
 import { TokenExchange } from "./token_exchange.ts";
 
 /** Time between two tokens of the server, in milliseconds. */
-const INTERVAL = 200;
+const TOKEN_INTERVAL = 200;
 /** When the buckets, which start empty at 0, are full. */
 const FULL_AT = 2_000;
 
-/** VMs that follow the holder `h` from 0 on and know a server that is limited to five
- * requests per second. */
+/** Creates VMs that follow the holder `h` from time 0 and know a server that is limited
+ * to five requests per second. */
 function createVms(addresses: readonly string[]) {
   return addresses.map((address) => {
     const sent: PeerSend[] = [];
     const emit = messageCollector(sent);
-    const beliefs = Beliefs.create(emit);
-    beliefs.fleet.apply([backendServer("s")], [], 0);
-    const server = beliefs.fleet.get("s")!;
-    server.rate.answered(1_000 / INTERVAL, 0, 0);
+    const clusterState = Beliefs.create(emit);
+    clusterState.fleet.apply([backendServer("s")], [], 0);
+    const server = clusterState.fleet.get("s")!;
+    server.rate.answered(1_000 / TOKEN_INTERVAL, 0, 0);
     const exchange = TokenExchange.create(
-      beliefs,
+      clusterState,
       emit,
       address,
       () => 3,
       () => 0.5,
     );
-    beliefs.followHolder({ term: 1, vm: "h", address: "h", fitness: 1 });
+    clusterState.followHolder({ term: 1, vm: "h", address: "h", fitness: 1 });
     exchange.follow("h", 0);
     exchange.holderAnswered(true);
     const check = (now: number) =>
@@ -51,8 +51,8 @@
       sent += 1;
     }
   }
-  t.true(sent >= 4_000 / INTERVAL, `${sent}`);
-  t.true(sent <= 4_000 / INTERVAL + 4, `${sent}`);
+  t.true(sent >= 4_000 / TOKEN_INTERVAL, `${sent}`);
+  t.true(sent <= 4_000 / TOKEN_INTERVAL + 4, `${sent}`);
 });
 
 test("token exchange: an answer that is not from the holder is ignored", (t) => {
