--- a/src/core/keyspace/candidacy.ts
+++ b/src/core/keyspace/candidacy.ts
@@ -1,92 +1,111 @@
 /**
- * Whether a VM stands for election as term holder.
+ * Decides whether a VM is a candidate in the election of the term holder.
  *
- * A holder renews the grants of all servers and tells all VMs every change, so
- * its link and its processor carry what no other VM's do. Where VMs differ, the
- * place belongs to those that are clearly fitter: the others stand by and come
- * forward only while no fitter VM is heard of. On 91 VMs, of which six had 200
- * Mbit/s and the others 10, terms changed hands every six seconds while each VM
- * stood alike, since the holder's own messages kept the store's answers waiting
- * for up to 4 s.
+ * The term holder renews the grants of all servers and sends every change to
+ * all VMs, so it needs far more bandwidth and processor time than any other VM.
+ * If VMs differ, only the clearly fitter ones are candidates. The others become
+ * candidates only while no fitter VM is known to be alive. Without this rule,
+ * in a cluster of 91 VMs of which 6 had 200 Mbit/s and the others 10 Mbit/s,
+ * the term changed every 6 s: the messages of a holder with a slow link delayed
+ * the answers of the store to it by up to 4 s.
  *
  * ```ts
  * const candidacy = Candidacy.create(fitness);
- * candidacy.hear(holderFitness, now);
- * if (candidacy.isStanding(now)) joinElectorate();
+ * candidacy.observe(holderFitness, now);
+ * if (candidacy.isCandidate(now, isHolder)) joinElectorate();
  * ```
  *
  * @module
  */
 
-/** What a VM has, as its settings state it. */
+/** Resources of a VM according to its settings. */
 export interface Capacity {
-  /** Processor time a second, in seconds. */
+  /** Processor time per second, in seconds. */
   cores: number;
-  /** Bandwidth of its link, in Mbit/s. */
+  /** Bandwidth of its network link, in Mbit/s. */
   linkMegabits: number;
 }
 
-/** What a holder of 91 VMs and 265 servers needs: the unit of fitness. */
-const HOLDER_NEED: Capacity = { cores: 0.2, linkMegabits: 20 };
-/** A VM that is this many times as fit takes the place; smaller differences are
- * not worth a change of the term. */
-const CLEARLY_FITTER = 1.5;
-/** Time after which a fitter VM that is not heard of any more counts as gone, in
- * milliseconds: twice what the fit VMs take to elect one of themselves, which is
- * the store's time for a silent member (1.3 s) and the claim. With 2 s small VMs
- * came forward while they did so, and won by their number. */
-const ABSENCE = 3_000;
-/** Time that a holder goes on after it has heard of a fitter VM, in
- * milliseconds: the other VMs stand by meanwhile, so that none of them wins. */
-const HANDOVER_PAUSE = 1_500;
+/**
+ * What the term holder of a cluster of 91 VMs and 265 servers needs: the unit
+ * of fitness.
+ */
+const REFERENCE_CAPACITY: Capacity = { cores: 0.2, linkMegabits: 20 };
+/**
+ * Ratio of fitness above which another VM counts as clearly fitter. A smaller
+ * difference does not justify a change of the term.
+ */
+const MIN_FITNESS_RATIO = 1.5;
+/**
+ * Time without a message about a fitter VM after which it counts as gone, in
+ * milliseconds. It is twice the time in which the fit VMs elect one of
+ * themselves, which is the store's timeout for a silent member (1.3 s) plus the
+ * claim. With 2 s, small VMs became candidates during that election and won it
+ * by their number.
+ */
+const FITTER_VM_TIMEOUT = 3_000;
+/**
+ * Time for which a term holder remains a candidate after it has learned of a
+ * fitter VM, in milliseconds. The other less fit VMs stop being candidates in
+ * the meantime, so that none of them is elected.
+ */
+const HANDOVER_DELAY = 1_500;
 
-/** How fit a VM is for the place; what it has least of decides. */
+/**
+ * Returns the fitness of a VM as term holder. The scarcest resource determines
+ * it.
+ */
 export function fitnessOf({ cores, linkMegabits }: Capacity): number {
   return Math.min(
-    cores / HOLDER_NEED.cores,
-    linkMegabits / HOLDER_NEED.linkMegabits,
+    cores / REFERENCE_CAPACITY.cores,
+    linkMegabits / REFERENCE_CAPACITY.linkMegabits,
   );
 }
 
-/** See the module's comment. Times are milliseconds of this VM's clock. */
+/** Candidacy of one VM. All times are milliseconds of this VM's clock. */
 export class Candidacy {
-  /** The fittest VM that is heard of, and when it last was. */
+  /**
+   * Fitness of the fittest VM among the clearly fitter ones that were observed.
+   */
   #fittest = 0;
-  #heardAt = -Infinity;
-  /** Since when a fitter VM has been heard of without a gap. */
-  #since = -Infinity;
+  #lastSeenAt = -Infinity;
+  /** Since when a fitter VM has been observed without a gap. */
+  #fitterSince = -Infinity;
 
   private constructor(readonly fitness: number) {}
 
-  /** The candidacy of a VM of this fitness that has heard of no other. */
+  /** Creates the candidacy of a VM that has observed no other. */
   static create(fitness: number): Candidacy {
     return new Candidacy(fitness);
   }
 
-  /** Some VM of this fitness lives. */
-  hear(fitness: number, now: number): void {
+  /** Records that a VM of this fitness is alive. */
+  observe(fitness: number, now: number): void {
     if (!this.#isClearlyFitter(fitness)) return;
-    if (now - this.#heardAt > ABSENCE) this.#since = now;
-    this.#fittest = Math.max(fitness, this.#fittestNow(now));
-    this.#heardAt = now;
+    if (now - this.#lastSeenAt > FITTER_VM_TIMEOUT) this.#fitterSince = now;
+    this.#fittest = Math.max(fitness, this.#knownFittest(now));
+    this.#lastSeenAt = now;
   }
 
-  /** Fitness of the fittest VM that is heard of, this one included. */
+  /** Returns the fitness of the fittest known VM, including this one. */
   fittest(now: number): number {
-    return Math.max(this.fitness, this.#fittestNow(now));
+    return Math.max(this.fitness, this.#knownFittest(now));
   }
 
-  /** Whether this VM stands; one that `isHolder` gives the place up later. */
-  isStanding(now: number, isHolder: boolean): boolean {
-    if (this.#fittestNow(now) === 0) return true;
-    return isHolder && now - this.#since < HANDOVER_PAUSE;
+  /**
+   * Whether this VM is a candidate. If it `isHolder`, it remains one for a
+   * while.
+   */
+  isCandidate(now: number, isHolder: boolean): boolean {
+    if (this.#knownFittest(now) === 0) return true;
+    return isHolder && now - this.#fitterSince < HANDOVER_DELAY;
   }
 
-  #fittestNow(now: number): number {
-    return now - this.#heardAt > ABSENCE ? 0 : this.#fittest;
+  #knownFittest(now: number): number {
+    return now - this.#lastSeenAt > FITTER_VM_TIMEOUT ? 0 : this.#fittest;
   }
 
   #isClearlyFitter(fitness: number): boolean {
-    return fitness > this.fitness * CLEARLY_FITTER;
+    return fitness > this.fitness * MIN_FITNESS_RATIO;
   }
 }
--- a/src/core/keyspace/exposure.ts
+++ b/src/core/keyspace/exposure.ts
@@ -1,19 +1,22 @@
 /**
- * Until when servers may hold keys by the grants of one holder: what its
- * successor would otherwise have to assume the worst of.
+ * Time for which servers may still hold keys by the grants of one term holder.
+ * Without it the next term holder would have to assume the longest possible
+ * leases.
  *
  * @module
  */
 import * as z from "zod";
 import { keyRangeSchema } from "./assignment.ts";
 
-/** Schema of {@linkcode Exposure}. */
+/** Schema of {@linkcode OutstandingLease}. */
 export const exposureSchema = keyRangeSchema.extend({
   service: z.string(),
-  /** Milliseconds from now until no server can hold the keys any more, if no
-   * grant follows; 0 when none can now. */
+  /**
+   * Milliseconds from now until no server can hold the keys any more if no
+   * grant follows; 0 if none can now.
+   */
   remaining: z.number().nonnegative(),
 });
 
-/** See {@linkcode exposureSchema}. */
-export type Exposure = z.infer<typeof exposureSchema>;
+/** A range of keys with the remaining time of its lease. */
+export type OutstandingLease = z.infer<typeof exposureSchema>;
--- a/src/core/keyspace/held_range.ts
+++ b/src/core/keyspace/held_range.ts
@@ -4,85 +4,98 @@
  * ```
  * vacant -> assigned -> held -> closing -> released -> vacant
  *              |  ^                |          |
- *              |  |                |          | (the store is silent: back to
- *              |  +----------------|----------+  the server that had the keys)
- *              +---> expiring <----+      (no answer: wait for the lease)
+ *              |  |                |          | (the store does not answer: back
+ *              |  +----------------|----------+  to the server that had the keys)
+ *              +---> expiring <----+      (no answer: wait for the lease to end)
  * ```
  *
- * Any state is followed by `vacant` when another server answers at the address.
- * A server that left orders unanswered is asked once more while its lease is
- * waited for, if another one is listed at its address.
+ * A range in any state becomes `vacant` if another server answers at the
+ * address of its server. While an unresponsive server's lease expires, the
+ * server is asked once more if another server is listed at its address.
  *
  * @module
  */
 import type { KeyRange } from "./assignment.ts";
 
-/** Where a range stands; see the module's comment. */
+/** State of a range; see the module's comment. */
 export type RangeState =
   /** No server holds the keys. */
   | "vacant"
-  /** A server was chosen; it gets its first grant once that is recorded. */
+  /** A server was chosen. It gets its first grant once this is recorded. */
   | "assigned"
   /** A server holds the keys and its grant is renewed. */
   | "held"
-  /** The keys are being taken back; requests are no longer sent there. */
+  /**
+   * The release of the keys is due. Requests are no longer sent to the server.
+   */
   | "closing"
-  /** The server has given the keys back and is still the one on record; another
-   * can be recorded once the store is known to answer. */
+  /**
+   * The server has released the keys and is still the recorded one. Another one
+   * can be recorded once the store is known to answer.
+   */
   | "released"
-  /** The server did not answer; its lease has to run out. */
+  /** The server did not answer. Its lease has to expire. */
   | "expiring";
 
-/** See the module's comment. Times are those of the holder's clock. */
+/**
+ * One range; see the module's comment. Times are those of the term holder's
+ * clock.
+ */
 export interface HeldRange extends KeyRange {
   state: RangeState;
   /** The only server that may hold the keys. */
   server: string | null;
   /** Address of that server, kept for when it is no longer listed. */
   address: string | null;
-  /** Where the server was sent grants by which it may hold the keys. */
+  /** Addresses to which grants were sent that may still be in force. */
   addresses: readonly string[];
-  /** Incarnation under which the server was listed when it was last granted the
-   * keys; 0 where it is not known. */
+  /**
+   * Incarnation of the server as listed when it was last granted the keys; 0 if
+   * unknown.
+   */
   incarnation: number;
-  /** Whether it has accepted a grant of this term, which makes it refuse those
-   * of older holders. */
+  /**
+   * Whether the server has accepted a grant of this term, after which it
+   * rejects those of older term holders.
+   */
   isFenced: boolean;
-  /** Text that its last holder gave out for a warm start. */
+  /** Text from the last server for the next one, which shortens its warm-up. */
   handover: string | null;
-  /** When the last grant that the server answered runs out at the latest. */
+  /** Latest time at which the lease of an answered grant can end. */
   leaseEnd: number;
-  /** When the grants of older holders run out at the latest. A grant of this
-   * term does not shorten them: a server keeps the longest hold it was given
-   * until it releases the keys. */
+  /**
+   * Latest time at which the leases of older term holders can end. A grant of
+   * this term does not shorten them: a server keeps the longest lease that it
+   * was given until it releases the keys.
+   */
   inheritedEnd: number;
-  /** When grants that it did not answer run out at the latest. */
-  doubtEnd: number;
-  /** Hold time of the last grant that was sent. */
+  /** Latest time at which the lease of an unanswered grant can end. */
+  unansweredEnd: number;
+  /** Hold time of the last grant that was sent, in milliseconds. */
   hold: number;
   /** When the next order is due. */
   dueAt: number;
-  /** Orders in a row that got no answer. */
+  /** Number of consecutive orders without an answer. */
   failures: number;
   /** When the first of them failed. */
   failingSince: number;
-  /** The order in flight, or null. */
+  /** Number of the order in flight, or null. */
   order: number | null;
   /** When the last order to the server ended. */
   orderEndedAt: number;
-  /** Whether the last order was withheld, for lack of a connection. */
-  isUnconnected: boolean;
-  /** When requests for the keys began to wait, or 0 while they do not. */
+  /** Whether the last order was withheld for lack of a connection. */
+  isLastOrderWithheld: boolean;
+  /** Since when requests for the keys have to wait; 0 if they do not. */
   closedAt: number;
-  /** When the server gave the keys back. */
+  /** When the server released the keys. */
   releasedAt: number;
-  /** Server that the keys are to go to next, or null. */
+  /** Server that should get the keys next, or null. */
   destination: string | null;
-  /** Change of the table that brought the range into its state. */
+  /** Revision of the table at the last change of this range. */
   revision: number;
 }
 
-/** A range that nobody holds. */
+/** Creates a range that no server holds. */
 export function vacantRange(range: KeyRange, revision: number): HeldRange {
   return {
     first: range.first,
@@ -96,14 +109,14 @@
     handover: null,
     leaseEnd: 0,
     inheritedEnd: 0,
-    doubtEnd: 0,
+    unansweredEnd: 0,
     hold: 0,
     dueAt: 0,
     failures: 0,
     failingSince: 0,
     order: null,
     orderEndedAt: 0,
-    isUnconnected: false,
+    isLastOrderWithheld: false,
     closedAt: 0,
     releasedAt: 0,
     destination: null,
--- a/src/core/keyspace/key_balance.ts
+++ b/src/core/keyspace/key_balance.ts
@@ -1,6 +1,6 @@
 /**
- * When keys move for the balance of load, which servers may get keys, and how
- * many ranges a service is divided into.
+ * Decides when keys move for load balance, which servers may get keys, and how
+ * many ranges a service may be divided into.
  *
  * @module
  */
@@ -10,135 +10,167 @@
 import { type Candidate, type Move, Placement } from "./placement.ts";
 import type { RangeTable } from "./range_table.ts";
 
-/** Pause between looks at the balance of load, in milliseconds. */
-const BALANCE_INTERVAL = 300;
-/** Time without a new server after which keys are given out for the first time,
- * in milliseconds: two reads of the registry without news. Without it keys moved
- * 1.2 times over before the first request. */
-const FIRST_PAUSE = 950;
+/** Interval between checks of the load balance, in milliseconds. */
+const REBALANCE_INTERVAL = 300;
+/**
+ * Time without a new server after which the keys of a new service are assigned,
+ * in milliseconds. It covers two reads of the registry without a change.
+ * Without the delay, each key moved 1.2 times on average before the first
+ * request.
+ */
+const INITIAL_ASSIGNMENT_DELAY = 950;
 /** Bounds of the measured relative speed of a server. */
-const SLOWEST = 0.35;
-const FASTEST = 2;
-/** Ranges of one service that may be on the move at a time, at least, and as a
- * share of its servers. Keys wait while they move, for as long as the work that
- * runs on them. */
-const FEWEST_MOVES = 6;
-const MOVES_PER_SERVER = 0.25;
-/** Ranges of a service above which none is split: each costs a renewal. Few
- * servers need several each to be even; of many, most need no more than three.
- * At the limit no move begins, however uneven the load is. */
-const RANGES_OF_FEW = 6;
-const RANGES_OF_MANY = 3;
-const SPARE_RANGES = 64;
-/** Share of a server's rate limit that is planned for its keys; the rest is
- * headroom for variation in demand, as requests above the limit are refused. */
+const MIN_SPEED = 0.35;
+const MAX_SPEED = 2;
+/**
+ * Lower bound of the number of ranges of one service that may move at the same
+ * time, and that number as a share of the servers. Requests for moving keys
+ * wait until the running requests of these keys have ended.
+ */
+const MIN_CONCURRENT_MOVES = 6;
+const CONCURRENT_MOVES_PER_SERVER = 0.25;
+/**
+ * Limits on the number of ranges of a service, because each range costs a
+ * renewal. With few servers, each needs several ranges for an even load; with
+ * many, most need no more than three. At the limit no move starts, however
+ * uneven the load is.
+ */
+const SMALL_SERVICE_RANGES_PER_SERVER = 6;
+const LARGE_SERVICE_RANGES_PER_SERVER = 3;
+const LARGE_SERVICE_EXTRA_RANGES = 64;
+/**
+ * Share of a server's rate limit that is planned for its keys. The rest is
+ * headroom for variation in demand, as requests above the limit are refused.
+ */
 const LIMIT_UTILIZATION = 0.9;
-/** Lower bound of a speed derived from a rate limit. Loads are divided by speeds,
- * so this keeps them finite. */
-const SLOWEST_LIMITED = 0.01;
-/** Milliseconds in a second. */
-const SECOND = 1_000;
+/**
+ * Lower bound of a speed derived from a rate limit. Loads are divided by
+ * speeds, so this keeps them finite.
+ */
+const MIN_LIMITED_SPEED = 0.01;
+const MILLISECONDS_PER_SECOND = 1_000;
 
-/** See the module's comment. */
-export class KeyBalance {
-  readonly #lookedAt = new Map<string, number>();
+/** Plans the moves of all services; see the module's comment. */
+export class KeyRebalancer {
+  readonly #checkedAt = new Map<string, number>();
 
   private constructor(
     private readonly fleet: Fleet,
     private readonly loads: KeyLoads,
   ) {}
 
-  /** The balance of the servers of `fleet` under `loads`. */
-  static create(fleet: Fleet, loads: KeyLoads): KeyBalance {
-    return new KeyBalance(fleet, loads);
+  /** Creates a rebalancer for the servers of `fleet` under `loads`. */
+  static create(fleet: Fleet, loads: KeyLoads): KeyRebalancer {
+    return new KeyRebalancer(fleet, loads);
   }
 
-  /** Whether a look at a service is due; notes that it is taken. */
-  takeTurn(service: string, now: number): boolean {
-    const lookedAt = this.#lookedAt.get(service) ?? 0;
-    if (now < lookedAt + BALANCE_INTERVAL) return false;
-    this.#lookedAt.set(service, now);
+  /**
+   * Returns whether a check of a service is due, and if so records it as done.
+   */
+  tryStartCheck(service: string, now: number): boolean {
+    const checkedAt = this.#checkedAt.get(service) ?? 0;
+    if (now < checkedAt + REBALANCE_INTERVAL) return false;
+    this.#checkedAt.set(service, now);
     return true;
   }
 
   /**
-   * Whether keys that nobody ever held may be given out: at a first start servers
-   * join one after the other for seconds, and those that come early would get all
-   * keys, most of which would then move. Not while callers wait for them.
+   * Whether the keys of a new service may be assigned. On the first start,
+   * servers join one after the other over several seconds. The first ones would
+   * get all keys, and most of these would then move. The delay does not apply
+   * once requests for the service have arrived.
    */
-  mayBegin(service: string, now: number): boolean {
-    const isSettled = now - this.fleet.joinedAt(service) >= FIRST_PAUSE;
+  mayAssignInitially(service: string, now: number): boolean {
+    const isSettled =
+      now - this.fleet.joinedAt(service) >= INITIAL_ASSIGNMENT_DELAY;
     return isSettled || !this.loads.of(service).isEmpty;
   }
 
-  /** Moves that should begin now. */
+  /** Returns the moves that should start now. */
   moves(table: RangeTable, suspects: Set<string>, now: number): Move[] {
     const moving = table.ranges.filter((each) => each.state !== "held").length;
     const { length: servers } = this.fleet.of(table.service);
-    const most = Math.max(FEWEST_MOVES, Math.ceil(MOVES_PER_SERVER * servers));
-    if (moving >= most) return [];
+    const maxMoving = Math.max(
+      MIN_CONCURRENT_MOVES,
+      Math.ceil(CONCURRENT_MOVES_PER_SERVER * servers),
+    );
+    if (moving >= maxMoving) return [];
     const candidates = this.candidates(table.service, suspects, now);
-    if (table.ranges.length > mostRanges(candidates.length)) return [];
+    if (table.ranges.length > maxRanges(candidates.length)) return [];
     const placement = this.placement(table.service, candidates, now);
-    return placement.moves(table.ranges).slice(0, most - moving);
+    return placement.moves(table.ranges).slice(0, maxMoving - moving);
   }
 
-  /** Weighs keys by the requests of the last seconds. */
+  /** Creates a placement from the recent requests of a service. */
   placement(
     service: string,
     candidates: readonly Candidate[],
     now: number,
   ): Placement {
-    const samples = this.loads.of(service).sorted(now);
+    const samples = this.loads.of(service).windowKeys(now);
     return Placement.create(samples, candidates);
   }
 
-  /** Servers that may get keys, with their speeds as measured and limited; `suspects` only
-   * where there is no other. */
+  /**
+   * Returns the servers that may get keys, with their speeds as measured and
+   * limited. Suspected or otherwise unfit servers are included only if there
+   * are no others.
+   */
   candidates(
     service: string,
     suspects: Set<string>,
     now: number,
   ): Candidate[] {
-    const usual = this.fleet.usualLatency(service, now);
+    const meanLatency = this.fleet.usualLatency(service, now);
     const usable = this.fleet.of(service).filter((each) => !each.isLeaving);
-    const sound = usable.filter((each) =>
+    const healthy = usable.filter((each) =>
       !suspects.has(each.id) && !each.isPaused(now) &&
       !each.isWarming(now) &&
-      !each.isSilent(now, usual)
+      !each.isSilent(now, meanLatency)
     );
-    const candidates = sound.length > 0 ? sound : usable;
+    const candidates = healthy.length > 0 ? healthy : usable;
     const meanDemand = this.#demand(service, now) / candidates.length;
     return candidates.map((server) => {
-      const speed = relativeSpeed(server, usual);
+      const speed = relativeSpeed(server, meanLatency);
       const limit = server.rate.current(now);
       return { id: server.id, speed: limitedSpeed(speed, limit, meanDemand) };
     });
   }
 
-  /** Recent demand for the keys of a service, in requests per second. */
+  /**
+   * Returns the recent demand for the keys of a service, in requests per
+   * second.
+   */
   #demand(service: string, now: number): number {
     const { length } = this.loads.of(service).newest(DEMAND_WINDOW, now);
-    return length * SECOND / DEMAND_WINDOW;
+    return length * MILLISECONDS_PER_SECOND / DEMAND_WINDOW;
   }
 }
 
-/** Ranges that a service with so many servers may be divided into. */
-function mostRanges(servers: number): number {
+/**
+ * Returns the maximum number of ranges of a service with this number of
+ * servers.
+ */
+function maxRanges(servers: number): number {
   return Math.min(
-    RANGES_OF_FEW * servers,
-    RANGES_OF_MANY * servers + SPARE_RANGES,
+    SMALL_SERVICE_RANGES_PER_SERVER * servers,
+    LARGE_SERVICE_RANGES_PER_SERVER * servers + LARGE_SERVICE_EXTRA_RANGES,
   );
 }
 
-function relativeSpeed(server: TrackedServer, usual: number): number {
-  if (server.latency === null || usual === 0) return 1;
-  return Math.min(FASTEST, Math.max(SLOWEST, usual / server.latency));
+function relativeSpeed(server: TrackedServer, meanLatency: number): number {
+  if (server.latency === null || meanLatency === 0) return 1;
+  return Math.min(
+    MAX_SPEED,
+    Math.max(MIN_SPEED, meanLatency / server.latency),
+  );
 }
 
-/** Caps a relative speed according to the server's rate limit, if it has one.
+/**
+ * Caps a relative speed according to the server's rate limit, if it has one.
  * Both `limit` and `meanDemand`, the mean demand per candidate, are in requests
- * per second; a server of speed 1 is assumed to receive the mean demand. */
+ * per second; a server of speed 1 is assumed to receive the mean demand.
+ */
 function limitedSpeed(
   speed: number,
   limit: number | null,
@@ -146,5 +178,5 @@
 ): number {
   if (limit === null || meanDemand === 0) return speed;
   const fastest = LIMIT_UTILIZATION * limit / meanDemand;
-  return Math.min(speed, Math.max(SLOWEST_LIMITED, fastest));
+  return Math.min(speed, Math.max(MIN_LIMITED_SPEED, fastest));
 }
--- a/src/core/keyspace/key_directory.ts
+++ b/src/core/keyspace/key_directory.ts
@@ -1,5 +1,5 @@
 /**
- * Tells which server holds a key, from the newest recorded assignments.
+ * Finds the server that holds a key, from the newest known assignments.
  *
  * @module
  */
@@ -9,18 +9,21 @@
   coversAllKeys,
 } from "./assignment.ts";
 
-/** See the module's comment. */
+/** Assignments of all services; see the module's comment. */
 export class KeyDirectory {
   readonly #assignments = new Map<string, Assignment>();
 
   private constructor() {}
 
-  /** A directory that knows no assignment. */
+  /** Creates a directory without assignments. */
   static create(): KeyDirectory {
     return new KeyDirectory();
   }
 
-  /** Takes an assignment unless a newer one is known. */
+  /**
+   * Stores an assignment unless a newer one is known. Returns whether it was
+   * stored.
+   */
   apply(assignment: Assignment): boolean {
     const known = this.#assignments.get(assignment.service);
     if (known !== undefined && !isNewer(assignment, known)) return false;
@@ -29,9 +32,9 @@
   }
 
   /**
-   * Takes changes of the version `since` of an assignment. False when another
-   * version is known, on which they do not build. Of a service that is new here
-   * they have to be the whole.
+   * Applies changes to the version `since` of an assignment. Returns false if
+   * another version is known, to which they do not apply. For an unknown
+   * service the changes have to contain all keys.
    */
   change(changes: Assignment, since: number): boolean {
     const known = this.#assignments.get(changes.service);
@@ -49,7 +52,10 @@
     return [...this.#assignments.values()];
   }
 
-  /** The oldest state among the services: what the holder may have to tell. */
+  /**
+   * Term and version of the oldest assignment, which shows the term holder what
+   * changes this VM lacks.
+   */
   get position(): { term: number; version: number } {
     let oldest: Assignment | null = null;
     for (const assignment of this.#assignments.values()) {
@@ -58,7 +64,10 @@
     return { term: oldest?.term ?? 0, version: oldest?.version ?? 0 };
   }
 
-  /** The range that holds `key`, or undefined when nothing is recorded. */
+  /**
+   * Returns the range that contains `key`, or undefined if no assignment is
+   * known.
+   */
   find(service: string, key: number): AssignedRange | undefined {
     const ranges = this.#assignments.get(service)?.ranges ?? [];
     let low = 0;
@@ -74,8 +83,7 @@
   }
 }
 
-/** Ranges in which `changes` take the place of what `ranges` say of their keys;
- * both are ascending. */
+/** Replaces the parts of `ranges` that `changes` cover. Both are ascending. */
 function overlay(
   ranges: readonly AssignedRange[],
   changes: readonly AssignedRange[],
--- a/src/core/keyspace/key_directory_test.ts
+++ b/src/core/keyspace/key_directory_test.ts
@@ -4,9 +4,9 @@
 import { KeyDirectory } from "./key_directory.ts";
 import { RangeTable } from "./range_table.ts";
 
-test("key directory: changes bring it to what the holder has, whatever was cut and joined", (t) => {
+test("key directory: changes reproduce the holder's table after any splits and merges", (t) => {
   const action = fc.record({
-    kind: fc.constantFrom("cut", "state", "join", "publish"),
+    kind: fc.constantFrom("split", "state", "merge", "publish"),
     at: fc.nat(KEY_COUNT - 1),
     size: fc.nat(20_000),
     server: fc.constantFrom("a", "b", "c"),
@@ -17,24 +17,24 @@
       const directory = KeyDirectory.create();
       let version = 0;
       directory.apply(table.snapshot(1, version));
-      let told = table.revision;
+      let publishedRevision = table.revision;
       for (const { kind, at, size, server } of actions) {
         const range = table.ranges.find((each) => at <= each.last)!;
-        if (kind === "cut") {
+        if (kind === "split") {
           const last = Math.min(range.last, at + size);
-          table.cut(range, { first: Math.max(at, range.first), last });
+          table.split(range, { first: Math.max(at, range.first), last });
         } else if (kind === "state") {
           range.state = range.state === "held" ? "closing" : "held";
           range.server = server;
-          table.changed(range);
-        } else if (kind === "join") {
-          table.joinNeighbours(0);
+          table.markChanged(range);
+        } else if (kind === "merge") {
+          table.mergeAdjacent(0);
         } else {
           const since = version;
           version += 1;
-          const changes = table.changesSince(told, 1, version);
+          const changes = table.changesSince(publishedRevision, 1, version);
           t.true(directory.change(changes, since));
-          told = table.revision;
+          publishedRevision = table.revision;
           const { ranges } = directory.assignments[0];
           if (!coversAllKeys(ranges)) throw new Error("keys are missing");
           for (const each of table.ranges) {
@@ -53,7 +53,7 @@
   );
 });
 
-test("key directory: changes of another version are not taken", (t) => {
+test("key directory: changes to another version are rejected", (t) => {
   const table = RangeTable.create("s");
   const directory = KeyDirectory.create();
   const changes = table.changesSince(table.revision, 1, 3);
@@ -64,7 +64,7 @@
   t.is(directory.position.version, 3);
 });
 
-test("key directory: a service that is new comes whole with the changes", (t) => {
+test("key directory: a new service is added by changes that contain all its keys", (t) => {
   const table = RangeTable.create("s");
   const directory = KeyDirectory.create();
   t.true(directory.change(table.changesSince(-1, 1, 3), 2));
--- a/src/core/keyspace/key_limits.ts
+++ b/src/core/keyspace/key_limits.ts
@@ -1,19 +1,24 @@
 /**
- * How much of the demand for some keys may be sent on, where their server cannot
- * do all of it.
+ * Load shedding per key range: limits the requests for keys whose server has
+ * too little capacity for the demand.
  *
- * A key has one server, so a key that is asked for more often than that server can
- * answer overloads it whatever is decided about the others. Each of many VMs sees
- * too little of it to know: on 195 VMs a key with a fifth of 400 requests a second
- * was sent to its server by all of them, 9 of 10 ended by a reset of its full
- * queue, nearly twice each, and what got through waited there beyond its target.
- * The term holder sees the demand of all VMs. It tells them which share of the
- * requests for such keys has room; each VM refuses the others at once.
+ * A key has only one server, so a key with more requests than that server can
+ * answer overloads it, whatever is decided about other keys. Each of many VMs
+ * sees too few of these requests to detect this. In a cluster of 195 VMs, one
+ * key received a fifth of 400 requests a second and all VMs sent them to its
+ * server: 9 of 10 requests ended by a reset because the server's queue was
+ * full, each sent nearly twice, and the others waited in the queue for longer
+ * than their target latency.
+ *
+ * The term holder knows the demand of all VMs. It sends them the share of the
+ * requests for such keys that can be admitted, and each VM refuses the others
+ * at once.
  *
  * ```ts
- * const keys = load.newest(DEMAND_WINDOW, now); // at the term holder
+ * // At the term holder, with the sorted keys of the last DEMAND_WINDOW milliseconds:
  * const limits = limitsOf(service, ranges, keys, DEMAND_WINDOW, fleet, now);
- * keyLimits.take(limits, now); // at each VM
+ * // At each VM:
+ * keyLimits.take(limits, now);
  * if (chance >= keyLimits.share(service, key, now)) refuse();
  * ```
  *
@@ -23,44 +28,53 @@
 import type { Fleet } from "../fleet/index.ts";
 import { type KeyRange, keyRangeSchema } from "./assignment.ts";
 import type { HeldRange } from "./held_range.ts";
-import { samplesIn } from "./key_load.ts";
+import { countInRange } from "./key_load.ts";
 
-/** Age of the requests that demand is measured by, in milliseconds: long enough
- * that chance does not look like overload, short enough to follow a key that
- * becomes busy. */
+/**
+ * Time over which demand is measured, in milliseconds. It is long enough that
+ * random variation does not look like overload, and short enough to follow a
+ * key that becomes busy.
+ */
 export const DEMAND_WINDOW = 1_500;
-/** Share of what a server can do that is let through where demand is above it:
- * with three slots and requests that come at random, one waits for as long as its
- * work then, and four times as long at 0.95. */
-const USED_CAPACITY = 0.85;
-/** Standard deviations by which demand must be above what the server can do. Work
- * that takes a second leaves few requests to a server in the window: with one, a
- * twentieth of the servers that carried three quarters of what they can do were
- * limited by chance at any time (worked out); with two, one of 2,500. */
+/**
+ * Share of a server's capacity that is admitted if demand exceeds it. With
+ * three slots and random arrivals, a request then waits as long as its own
+ * processing takes; at a share of 0.95 it would wait four times as long.
+ */
+const TARGET_UTILIZATION = 0.85;
+/**
+ * Standard deviations by which demand must exceed the capacity of a server.
+ * With requests that take a second, a server receives few of them in the
+ * window. With one standard deviation, a twentieth of the servers at three
+ * quarters of their capacity would be limited by chance at any time; with two,
+ * one of 2,500.
+ */
 const SIGNIFICANCE = 2;
-/** Time for which a limit holds without a new word, in milliseconds: two answers
- * of the holder are missing. */
-const LIFETIME = 1_200;
+/**
+ * Time for which limits stay valid without an update, in milliseconds: two
+ * missing answers of the term holder.
+ */
+const LIMIT_LIFETIME = 1_200;
 
 /** Schema of {@linkcode KeyLimit}. */
 export const keyLimitSchema = keyRangeSchema.extend({
   service: z.string(),
-  /** Share of the requests for these keys that has room, below 1. */
+  /** Share of the requests for these keys that is admitted, below 1. */
   share: z.number().min(0).max(1),
 });
 
 /** A limit on requests for a range of keys. */
 export type KeyLimit = z.infer<typeof keyLimitSchema>;
 
-/** Requests for a range in the window. */
+/** Number of requests for a range in the window. */
 interface Demand extends KeyRange {
   count: number;
 }
 
 /**
- * The limits on keys of a service that are asked for more than their servers can
- * do. `keys` are those of all requests in the last `window` milliseconds, in
- * ascending order.
+ * Computes the limits for ranges of a service whose demand exceeds the capacity
+ * of their servers. `keys` are those of all requests in the last `window`
+ * milliseconds, in ascending order.
  */
 export function limitsOf(
   service: string,
@@ -73,69 +87,71 @@
   const byServer = new Map<string, Demand[]>();
   for (const { first, last, server } of ranges) {
     if (server === null) continue;
-    const demand = { first, last, count: samplesIn(keys, { first, last }) };
+    const demand = { first, last, count: countInRange(keys, { first, last }) };
     if (demand.count === 0) continue;
     byServer.set(server, [...byServer.get(server) ?? [], demand]);
   }
-  const usual = fleet.usualLatency(service, now);
+  const meanLatency = fleet.usualLatency(service, now);
   const limits: KeyLimit[] = [];
   for (const [id, demands] of byServer) {
     const server = fleet.get(id);
-    const latency = server?.latency ?? usual;
+    const latency = server?.latency ?? meanLatency;
     if (server === undefined || latency === 0) continue;
     const capacity = server.entry.slots * window / latency;
-    for (const { first, last, share } of divide(demands, capacity)) {
+    for (const { first, last, share } of divideCapacity(demands, capacity)) {
       limits.push({ service, first, last, share });
     }
   }
   return limits;
 }
 
-/** Divides what a server can do among its ranges so that those asked for least
- * get all; the shares of the others. */
-function divide(
+/**
+ * Divides the capacity of a server among its ranges. Ranges with the least
+ * demand get all they need; returns the shares of the others.
+ */
+function divideCapacity(
   demands: readonly Demand[],
   capacity: number,
 ): (KeyRange & { share: number })[] {
   const total = demands.reduce((sum, { count }) => sum + count, 0);
   if (total - SIGNIFICANCE * Math.sqrt(total) <= capacity) return [];
-  let left = capacity * USED_CAPACITY;
+  let remaining = capacity * TARGET_UTILIZATION;
   const limited: (KeyRange & { share: number })[] = [];
   const ascending = [...demands].sort((a, b) => a.count - b.count);
   for (const [i, { first, last, count }] of ascending.entries()) {
-    const given = Math.min(count, left / (ascending.length - i));
-    left -= given;
-    if (given < count) limited.push({ first, last, share: given / count });
+    const quota = Math.min(count, remaining / (ascending.length - i));
+    remaining -= quota;
+    if (quota < count) limited.push({ first, last, share: quota / count });
   }
   return limited;
 }
 
-/** The limits that a VM goes by. */
+/** Limits that a VM applies. */
 export class KeyLimits {
   #limits: readonly KeyLimit[] = [];
-  #heardAt = -Infinity;
+  #receivedAt = -Infinity;
 
   private constructor() {}
 
-  /** No limits. */
+  /** Creates an instance without limits. */
   static create(): KeyLimits {
     return new KeyLimits();
   }
 
-  /** All limits in force, as the term holder tells them. */
+  /** Replaces all limits by those that the term holder has sent. */
   take(limits: readonly KeyLimit[], now: number): void {
     this.#limits = limits;
-    this.#heardAt = now;
+    this.#receivedAt = now;
   }
 
-  /** Time since the limits were told, in milliseconds. */
+  /** Returns the time since the last update, in milliseconds. */
   age(now: number): number {
-    return now - this.#heardAt;
+    return now - this.#receivedAt;
   }
 
-  /** Share of the requests for `key` that has room at its server. */
+  /** Returns the share of the requests for `key` that is admitted. */
   share(service: string, key: number, now: number): number {
-    if (this.age(now) > LIFETIME) return 1;
+    if (this.age(now) > LIMIT_LIFETIME) return 1;
     const limit = this.#limits.find((each) =>
       each.service === service && each.first <= key && key <= each.last
     );
--- a/src/core/keyspace/key_load.ts
+++ b/src/core/keyspace/key_load.ts
@@ -1,82 +1,103 @@
 /**
- * Counts which keys are asked for. Every VM sees a hash of the callers, so the
- * term holder's own requests are a fair sample of all.
+ * Samples the keys of requests. Each VM receives a hash-selected part of the
+ * callers, so the requests of the term holder alone are a fair sample of all
+ * requests.
  *
  * @module
  */
 import type { KeyRange } from "./assignment.ts";
 
-/** Age up to which a request counts, in milliseconds: short enough to follow
- * keys that become busy within seconds. */
-const WINDOW = 3_000;
-/** Requests kept for each service; bounds memory and the time of a look. */
-const MAXIMUM_SAMPLES = 4_000;
-/** Age up to which requests are compared with those before, in milliseconds: a
- * busy key was moved 0.5 s after it became busy, 1 to 2 s by the whole window. */
-const RECENT = 700;
-/** Samples in that time below which nothing is called a surge. */
-const FEWEST_RECENT = 100;
-/** Numbers of keys that lie in one bin of the comparison, as a power of two:
- * busy keys are often close together. */
+/**
+ * Age up to which a request counts, in milliseconds. It is short enough to
+ * follow keys that become busy within seconds.
+ */
+const SAMPLE_WINDOW = 3_000;
+/**
+ * Maximum number of samples of each service. It bounds the memory and the time
+ * of a load check.
+ */
+const MAX_SAMPLES = 4_000;
+/**
+ * Age up to which requests are compared with the earlier ones, in milliseconds.
+ * With this window, a key that became busy was moved after 0.5 s; with the
+ * whole window, after 1 to 2 s.
+ */
+const RECENT_WINDOW = 700;
+/** Number of samples in that window below which no surge is detected. */
+const MIN_RECENT_SAMPLES = 100;
+/**
+ * Number of adjacent keys in one bin of the comparison, as a power of two. Busy
+ * keys are often close together.
+ */
 const BIN_BITS = 8;
-/** Standard deviations by which a bin must exceed what the time before lets
- * expect: with 256 bins and three looks a second, chance does so once in hours. */
+/**
+ * Standard deviations by which a bin must exceed the number expected from the
+ * earlier requests. With 256 bins and three checks a second, chance alone
+ * exceeds it once in hours.
+ */
 const SURGE_SIGNIFICANCE = 6;
 
-/** Recent keys of one service. */
+/** Keys of the recent requests of one service. */
 export class KeyLoad {
   readonly #keys: number[] = [];
   readonly #times: number[] = [];
 
   private constructor() {}
 
-  /** A load without samples. */
+  /** Creates a load without samples. */
   static create(): KeyLoad {
     return new KeyLoad();
   }
 
-  /** Whether nothing was asked for lately. */
+  /** Whether there are no samples. */
   get isEmpty(): boolean {
     return this.#keys.length === 0;
   }
 
-  /** A request for `key` arrived. */
+  /** Records a request for `key`. */
   record(key: number, now: number): void {
     this.#keys.push(key);
     this.#times.push(now);
-    if (this.#keys.length > MAXIMUM_SAMPLES) this.#drop(MAXIMUM_SAMPLES / 2);
+    if (this.#keys.length > MAX_SAMPLES) this.#drop(MAX_SAMPLES / 2);
   }
 
   /**
-   * The keys of the window in ascending order, each as often as asked for. While
-   * some keys are asked for much more than before, only the newest requests
-   * count: a server that is flooded now should not wait for the mean of seconds.
+   * Returns the keys in the sample window in ascending order, one for each
+   * request. During a surge of requests for some keys, only the newest requests
+   * count, so that an overloaded server need not wait until the mean over
+   * seconds follows.
    */
-  sorted(now: number): number[] {
-    const old = this.#times.findIndex((time) => time > now - WINDOW);
+  windowKeys(now: number): number[] {
+    const old = this.#times.findIndex((time) => time > now - SAMPLE_WINDOW);
     this.#drop(old < 0 ? this.#times.length : old);
-    const recent = this.#times.findIndex((time) => time > now - RECENT);
-    const isSurging = recent >= 0 && this.#isSurging(recent);
-    const keys = isSurging ? this.#keys.slice(recent) : [...this.#keys];
+    const recentIndex = this.#times.findIndex((time) =>
+      time > now - RECENT_WINDOW
+    );
+    const isSurging = recentIndex >= 0 && this.#isSurging(recentIndex);
+    const keys = isSurging ? this.#keys.slice(recentIndex) : [...this.#keys];
     return keys.sort((a, b) => a - b);
   }
 
-  /** The keys of the last `window` milliseconds in ascending order, each as often
-   * as asked for. */
+  /**
+   * Returns the keys of the last `window` milliseconds in ascending order, one
+   * for each request.
+   */
   newest(window: number, now: number): number[] {
     const first = this.#times.findIndex((time) => time > now - window);
     if (first < 0) return [];
     return this.#keys.slice(first).sort((a, b) => a - b);
   }
 
-  /** Whether some bin has far more requests from index `recent` on than the
-   * requests before let expect. */
-  #isSurging(recent: number): boolean {
-    const count = this.#keys.length - recent;
-    if (count < FEWEST_RECENT || recent < count) return false;
-    const before = countByBin(this.#keys.slice(0, recent));
-    const scale = count / recent;
-    for (const [bin, found] of countByBin(this.#keys.slice(recent))) {
+  /**
+   * Whether some bin has far more requests from index `recentIndex` on than the
+   * earlier requests predict.
+   */
+  #isSurging(recentIndex: number): boolean {
+    const count = this.#keys.length - recentIndex;
+    if (count < MIN_RECENT_SAMPLES || recentIndex < count) return false;
+    const before = countByBin(this.#keys.slice(0, recentIndex));
+    const scale = count / recentIndex;
+    for (const [bin, found] of countByBin(this.#keys.slice(recentIndex))) {
       const expected = Math.max(1, (before.get(bin) ?? 0) * scale);
       const deviation = Math.sqrt(expected);
       if (found > expected + SURGE_SIGNIFICANCE * deviation) return true;
@@ -99,18 +120,18 @@
   return counts;
 }
 
-/** The loads of all services. */
+/** Loads of all services. */
 export class KeyLoads {
   readonly #loads = new Map<string, KeyLoad>();
 
   private constructor() {}
 
-  /** Loads without samples. */
+  /** Creates loads without samples. */
   static create(): KeyLoads {
     return new KeyLoads();
   }
 
-  /** The load of a service. */
+  /** Returns the load of a service. */
   of(service: string): KeyLoad {
     let load = this.#loads.get(service);
     if (load === undefined) {
@@ -121,12 +142,15 @@
   }
 }
 
-/** Samples within a range; `sorted` is ascending. */
-export function samplesIn(sorted: readonly number[], range: KeyRange): number {
+/** Returns the number of samples within a range; `sorted` is ascending. */
+export function countInRange(
+  sorted: readonly number[],
+  range: KeyRange,
+): number {
   return lowerBound(sorted, range.last + 1) - lowerBound(sorted, range.first);
 }
 
-/** Index of the first sample that is not below `key`. */
+/** Returns the index of the first sample that is not below `key`. */
 export function lowerBound(sorted: readonly number[], key: number): number {
   let low = 0;
   let high = sorted.length;
--- a/src/core/keyspace/keyspace_effect.ts
+++ b/src/core/keyspace/keyspace_effect.ts
@@ -1,28 +1,33 @@
 /**
- * What the holders of terms want done, as data.
+ * Effects of the key space: actions that its state machines request, as data.
  *
  * @module
  */
 import type { Assignment, KeyRange } from "./assignment.ts";
 
-/** How an order to a backend server ended. */
+/** Outcome of an order to a backend server. */
 export type OrderOutcome =
   | { kind: "accepted"; handover: string | null }
   /** The server has seen a higher token on some of the keys. */
   | { kind: "superseded" }
-  /** Another server listens at the address and refused it: the one that was
-   * meant has ended. */
+  /**
+   * Another server listens at the address and refused the order: the intended
+   * server has ended.
+   */
   | { kind: "misdirected" }
-  /** It was not sent: there was no connection, and none was to be opened. */
+  /**
+   * The order was not sent: there was no connection, and it must not open one.
+   */
   | { kind: "withheld" }
-  /** No usable answer: the order may still be carried out. */
+  /** There was no usable answer. The order may still be carried out. */
   | { kind: "failed"; cause: string };
 
 /**
- * What every order to a server says; the answer is `order.ended`. A server's
- * process may end at any moment and another one listen at its address, which
- * knows nothing of what was ordered before. So each order names the server that
- * it is meant for, and bears a token of its own.
+ * Content of every order to a server; the answer is the event `order.ended`.
+ *
+ * The process of a server may end at any time, and another server may then
+ * listen at its address without knowledge of earlier orders. So each order
+ * names the intended server and has its own token.
  */
 interface KeyOrder extends KeyRange {
   /** Number of the order, unique in this process. */
@@ -31,13 +36,14 @@
   /** The only server that may carry it out. */
   server: string;
   address: string;
-  /** Above those of all orders before it. */
+  /** Higher than the tokens of all earlier orders. */
   token: number;
   /**
-   * Whether a connection may be opened for it. A connection ends with the run
-   * of the server that it was opened to, so an order on a kept one reaches no
-   * run that started later. A run that started after another holder has claimed
-   * the next term may have seen no token, and would take an order of this one.
+   * Whether a connection may be opened for the order. A connection ends with
+   * the server process that it was opened to, so an order on an existing
+   * connection cannot reach a process that started later. A process that
+   * started after another VM has claimed the next term may have seen no token,
+   * and would accept an order of this term.
    */
   mayConnect: boolean;
 }
@@ -55,7 +61,7 @@
   kind: "order.release";
 }
 
-/** Keys begin to move for the sake of balance; for the log. */
+/** Log entry: a move of keys for load balance starts. */
 export interface MoveNote {
   kind: "keys.move";
   service: string;
@@ -65,16 +71,16 @@
   to: string;
 }
 
-/** Keys are held by another server; for the log. */
+/** Log entry: another server holds the keys now. */
 export interface MovedNote {
   kind: "keys.moved";
   service: string;
   first: number;
   last: number;
   to: string;
-  /** Token with which that server took them. */
+  /** Token of the grant that the server accepted. */
   token: number;
-  /** Milliseconds for which nobody could be asked for them. */
+  /** Milliseconds for which no server could be asked for the keys. */
   took: number;
 }
 
@@ -87,33 +93,38 @@
   assignments: Assignment[];
 }
 
-/** Tells all VMs who holds the term. */
+/** Announces the term holder to all VMs. */
 export interface HolderAnnouncement {
   kind: "holder.announce";
   term: number;
-  /** The term before it. */
+  /** The previous term. */
   formerTerm: number;
-  /** Fitness of the fittest VM that the holder hears of, itself included. */
+  /** Fitness of the fittest VM that the term holder knows, including itself. */
   fitness: number;
 }
 
-/** Asks for what is recorded; the answer is the event `term.read`. */
+/** Reads the records; the answer is the event `term.read`. */
 export interface TermRead {
   kind: "term.read";
 }
 
-/** Claims a term if the record still ends at `end`; answered by `term.claimed`. */
+/**
+ * Claims a term if the record still ends at `end`; the answer is the event
+ * `term.claimed`.
+ */
 export interface TermClaim {
   kind: "term.claim";
   term: number;
   end: number;
 }
 
-/** A group of VMs in the store: the electorate, of which one member is elected
- * to hold the term, or the observers, who only learn whether the store answers. */
+/**
+ * A group of VMs in the store. One member of the electorate is elected as term
+ * holder; observers only learn whether the store answers.
+ */
 export type Group = "electorate" | "observers";
 
-/** Joins a group, or stays in it; answered by `group.joined`. */
+/** Joins a group or stays in it; the answer is the event `group.joined`. */
 export interface GroupJoin {
   kind: "group.join";
   group: Group;
@@ -121,7 +132,7 @@
   generation: number;
 }
 
-/** Leaves a group at once, so that another VM takes over. */
+/** Leaves a group at once, so that another VM can be elected without delay. */
 export interface GroupLeave {
   kind: "group.leave";
   group: Group;
--- a/src/core/keyspace/lease_timing.ts
+++ b/src/core/keyspace/lease_timing.ts
@@ -1,13 +1,17 @@
 /**
- * Times of key leases, in milliseconds, and why they are safe together.
+ * Lease durations of keys, in milliseconds, and the conditions that make them
+ * safe together.
  *
- * A server holds keys for the longest hold that it was granted, counted from the
- * grant's arrival on a clock that may run {@linkcode CLOCK_DRIFT} slow; a later
- * grant for a shorter time takes nothing away. The
- * holder sends grants only while its authority lasts, counted from the sending
- * of its last confirmed membership call. So a successor that has fenced the
- * older holder at time T knows that the last grant of that holder runs out
- * before `T + AUTHORITY + longest hold`, all with drift and delay.
+ * A server holds its keys for the longest hold time that it was granted,
+ * counted from the arrival of the grant on a clock that may run slow by at most
+ * {@linkcode MAX_CLOCK_DRIFT}. A later grant with a shorter hold time does not
+ * shorten the lease.
+ *
+ * The term holder sends grants only while its authority lasts, counted from the
+ * time at which it sent its last confirmed membership call. So if a successor
+ * fences the previous holder at time T, the last grant of that holder expires
+ * before `T + authority + longest hold time`, plus the allowances for clock
+ * drift and delivery.
  *
  * @module
  */
@@ -15,31 +19,43 @@
 
 /** Schema of {@linkcode LeaseTiming}. */
 export const leaseTimingSchema = z.object({
-  /** Hold time of a grant while the store answers. Short, so that the keys of a
-   * lost server are free soon; longer than a change of the holder takes. */
+  /**
+   * Hold time of a grant while the store answers. It is short, so that the keys
+   * of a lost server become free soon, but longer than a change of the term
+   * holder takes.
+   */
   hold: z.number().int().positive().default(2_200),
-  /** Hold time once the store is silent: no key can move then, so holds only
-   * need to outlast the outage. Outages of 9 s are outlasted; longer holds
-   * would keep the keys of a server that a successor cannot reach as much
-   * longer, since it has to assume them. */
+  /**
+   * Hold time of a grant while the store does not answer. No key can move
+   * during that time, so the lease only has to outlast the outage: this value
+   * outlasts outages of 9 s. A longer value would delay the reassignment of
+   * keys by as much, because a successor that cannot reach a server has to
+   * assume that it holds its keys for the full time.
+   */
   longHold: z.number().int().positive().default(7_000),
-  /** Longest hold that servers accept; the others are cut to it. */
+  /**
+   * Longest hold time that servers accept. Longer hold times are reduced to it.
+   */
   maximumHold: z.number().int().positive().default(10_000),
-  /** Pause between renewals of a grant. */
+  /** Interval between renewals of a grant. */
   renewal: z.number().int().positive().default(600),
-  /** Time after the sending of a confirmed membership call for which the
-   * holder may send orders. */
+  /**
+   * Time for which the term holder may send orders, counted from when it sent
+   * its last confirmed membership call.
+   */
   authority: z.number().int().positive().default(2_000),
-  /** Silence of the store after which grants get the long hold. */
+  /**
+   * Time without an answer from the store after which grants use `longHold`.
+   */
   storeSilence: z.number().int().positive().default(1_100),
-  /** Time after which an unanswered order's connection is reset. */
+  /** Timeout of an order. After it the connection of the order is reset. */
   orderTimeout: z.number().int().positive().default(500),
 });
 
 /** See {@linkcode leaseTimingSchema}. */
 export type LeaseTiming = z.infer<typeof leaseTimingSchema>;
 
-/** Timing whose holds are no longer than servers accept. */
+/** Returns the timing with both hold times limited to what servers accept. */
 export function withinMaximum(timing: LeaseTiming): LeaseTiming {
   const { hold, longHold, maximumHold } = timing;
   return {
@@ -49,27 +65,45 @@
   };
 }
 
-/** A server's clock may run this much slow, as a share (2 % by its contract). */
-const CLOCK_DRIFT = 0.02;
-/** Time that a grant may spend in buffers after its connection was reset, with
- * the reading of clocks; the platform states 300 ms for both. */
+/**
+ * Maximum relative drift of a server's clock: 2 % by the platform's contract.
+ */
+const MAX_CLOCK_DRIFT = 0.02;
+/**
+ * Allowance in milliseconds for the time that a grant may spend in buffers
+ * after its connection was reset, and for the error in reading clocks. The
+ * platform specifies 300 ms for both together.
+ */
 const DELIVERY_SLACK = 300;
 
-/** When a grant that was sent at `sentAt` and not answered runs out at last. */
-export function unansweredEnd(
+/**
+ * Returns the latest time at which a lease can end whose grant was sent at
+ * `sentAt` and got no answer.
+ */
+export function unansweredGrantEnd(
   sentAt: number,
   hold: number,
   timing: LeaseTiming,
 ): number {
-  return answeredEnd(sentAt + timing.orderTimeout, hold);
+  return answeredGrantEnd(sentAt + timing.orderTimeout, hold);
 }
 
-/** When a grant that was answered at `answeredAt` runs out at last. */
-export function answeredEnd(answeredAt: number, hold: number): number {
-  return answeredAt + hold * (1 + CLOCK_DRIFT) + DELIVERY_SLACK;
+/**
+ * Returns the latest time at which a lease can end whose grant was answered at
+ * `answeredAt`.
+ */
+export function answeredGrantEnd(answeredAt: number, hold: number): number {
+  return answeredAt + hold * (1 + MAX_CLOCK_DRIFT) + DELIVERY_SLACK;
 }
 
-/** When the last grant of a holder that was fenced at `fencedAt` runs out. */
+/**
+ * Returns the latest time at which the last lease can end that a term holder
+ * fenced at `fencedAt` has granted.
+ */
 export function predecessorEnd(fencedAt: number, timing: LeaseTiming): number {
-  return unansweredEnd(fencedAt + timing.authority, timing.longHold, timing);
+  return unansweredGrantEnd(
+    fencedAt + timing.authority,
+    timing.longHold,
+    timing,
+  );
 }
--- a/src/core/keyspace/order_book.ts
+++ b/src/core/keyspace/order_book.ts
@@ -1,28 +1,37 @@
 /**
- * Orders of a term holder to backend servers: makes them, and knows which are in
- * flight and until when a server may hold keys by them.
+ * Creates the orders of a term holder to backend servers, and tracks which are
+ * in flight and until when a server may hold keys by them.
  *
  * @module
  */
 import type { HeldRange } from "./held_range.ts";
 import type { GrantOrder, ReleaseOrder } from "./keyspace_effect.ts";
-import { type LeaseTiming, unansweredEnd } from "./lease_timing.ts";
+import { type LeaseTiming, unansweredGrantEnd } from "./lease_timing.ts";
 import type { RangeTable } from "./range_table.ts";
 
-/** Tokens of one term: more than a holder gives out in years. */
-const TOKENS_OF_TERM = 2 ** 28;
+/**
+ * Number of tokens reserved for each term: more than a term holder uses in
+ * years.
+ */
+const TOKENS_PER_TERM = 2 ** 28;
 
-/** Orders that are made in one step. They are sent once all of its step are made, and
- * must not be 30 ms old by then to open a connection. One takes 0.36 ms of a whole
- * core in a process that is not warmed up (16 of them, measured), so as many are made
- * within 22 ms on a VM with 0.27 of a core; that makes 800 a second. A small VM that
- * made the 300 of all ranges at once had all of them withheld, again and again. */
-const ORDERS_OF_STEP = 16;
+/**
+ * Maximum number of orders that are created in one step. The orders of a step
+ * are sent after all of them are created, and an order that is then older than
+ * 30 ms must not open a connection. In a process that has just started, one
+ * order takes 0.36 ms of a whole core, so 16 orders take 22 ms on a VM with
+ * 0.27 of a core. This allows 800 orders a second. Without the limit, a small
+ * VM that created 300 orders at once had all of them withheld, repeatedly.
+ */
+const MAX_ORDERS_PER_STEP = 16;
 
-/** Maximum number of orders to servers without a known connection between two timer
- * events. A limit per step is not enough: several events may be handled in one turn of
- * the event loop, and their orders are sent only at the end of that turn. */
-const CONNECTING_ORDERS_PER_TIMER = ORDERS_OF_STEP;
+/**
+ * Maximum number of orders to servers without a known connection between two
+ * timer events. A limit per step is not enough: several events may be handled
+ * in one turn of the event loop, and their orders are sent only at the end of
+ * that turn.
+ */
+const MAX_CONNECTING_ORDERS = MAX_ORDERS_PER_STEP;
 
 /** An order that is in flight. */
 export interface PendingOrder {
@@ -30,25 +39,29 @@
   range: HeldRange;
   kind: "grant" | "release";
   sentAt: number;
-  /** Hold time of a grant, in milliseconds. */
+  /** Hold time of a grant, in milliseconds; 0 for a release. */
   hold: number;
   token: number;
-  /** Where it was sent. */
+  /** Address that it was sent to. */
   address: string;
-  /** Incarnation under which its server was listed then; 0 if unknown. */
+  /**
+   * Incarnation of the server as listed when the order was sent; 0 if unknown.
+   */
   incarnation: number;
 }
 
-/** See the module's comment. */
-export class OrderBook {
+/** Orders of one term; see the module's comment. */
+export class OrderTracker {
   readonly #pending = new Map<number, PendingOrder>();
-  #tokenNumber = 0;
-  /** Whether connections may be opened for orders. */
+  #tokenCount = 0;
+  /** Whether orders of this step may open connections. */
   #mayConnect = false;
-  /** Orders that may still be made in this step. */
-  #left = 0;
-  /** Orders to servers without a known connection that may still be made before the
-   * next timer event. */
+  /** Number of orders that may still be created in this step. */
+  #ordersLeft = 0;
+  /**
+   * Number of orders to servers without a known connection that may still be
+   * created before the next timer event.
+   */
   #connectingLeft = 0;
 
   private constructor(
@@ -57,42 +70,50 @@
     private readonly nextOrder: () => number,
   ) {}
 
-  /** The book of a term in which nothing was ordered; `nextOrder` numbers orders
-   * of all terms of this process. */
+  /**
+   * Creates a tracker for a term without orders. `nextOrder` returns order
+   * numbers that are unique over all terms of this process.
+   */
   static create(
     term: number,
     timing: LeaseTiming,
     nextOrder: () => number,
-  ): OrderBook {
-    return new OrderBook(term, timing, nextOrder);
+  ): OrderTracker {
+    return new OrderTracker(term, timing, nextOrder);
   }
 
-  /** Starts a step. `mayConnect` tells whether connections may be opened for its
-   * orders, `isTimerEvent` whether it handles a timer event, which does not share its
-   * turn of the event loop with other events. */
+  /**
+   * Starts a step. `mayConnect` tells whether its orders may open connections.
+   * `isTimerEvent` tells whether the step handles a timer event, which does not
+   * share its turn of the event loop with other events.
+   */
   beginStep(mayConnect: boolean, isTimerEvent: boolean): void {
     this.#mayConnect = mayConnect;
-    this.#left = ORDERS_OF_STEP;
-    if (isTimerEvent) this.#connectingLeft = CONNECTING_ORDERS_PER_TIMER;
+    this.#ordersLeft = MAX_ORDERS_PER_STEP;
+    if (isTimerEvent) this.#connectingLeft = MAX_CONNECTING_ORDERS;
   }
 
-  /** Whether a limit on orders is reached, so that some may be deferred to the next
-   * timer event. */
+  /**
+   * Whether a limit on orders is reached, so that some may be deferred to the
+   * next timer event.
+   */
   get isLimitReached(): boolean {
-    return this.#left === 0 || this.#connectingLeft === 0;
+    return this.#ordersLeft === 0 || this.#connectingLeft === 0;
   }
 
-  /** A token above all that this term and older ones gave out. */
+  /** Returns a token above all that this term and older ones have used. */
   #nextToken(): number {
-    this.#tokenNumber += 1;
-    return this.term * TOKENS_OF_TERM + this.#tokenNumber;
+    this.#tokenCount += 1;
+    return this.term * TOKENS_PER_TERM + this.#tokenCount;
   }
 
   /**
-   * Grants a range, whose server and address are known, or renews the grant. A
-   * renewal has a new token too: the run of the server that it was meant for may
-   * have ended, and to the next run it is the first grant. With the token before,
-   * two runs would have the same keys with one token.
+   * Creates an order that grants a range or renews its grant. The server and
+   * the address of the range must be known.
+   *
+   * A renewal has a new token too. The process that it is meant for may have
+   * ended, and to a process that replaces it the renewal is the first grant.
+   * With the same token, two processes would hold the same keys with one token.
    */
   grant(
     table: RangeTable,
@@ -108,7 +129,7 @@
     const token = this.#nextToken();
     return {
       kind: "order.grant",
-      order: this.#add(table, range, "grant", hold, token, now),
+      order: this.#track(table, range, "grant", hold, token, now),
       service: table.service,
       server: range.server!,
       address: range.address!,
@@ -121,12 +142,12 @@
     };
   }
 
-  /** Takes a range back. */
+  /** Creates an order that takes a range back. */
   release(table: RangeTable, range: HeldRange, now: number): ReleaseOrder {
     const token = this.#nextToken();
     return {
       kind: "order.release",
-      order: this.#add(table, range, "release", 0, token, now),
+      order: this.#track(table, range, "release", 0, token, now),
       service: table.service,
       server: range.server!,
       address: range.address!,
@@ -137,17 +158,23 @@
     };
   }
 
-  /** Whether an order to the server of a range has to be deferred to a later step,
-   * because a limit is reached or because it would be withheld again. */
-  mustWait(range: HeldRange): boolean {
-    if (this.#left === 0) return true;
+  /**
+   * Whether an order to the server of a range has to be deferred to a later
+   * step, because a limit is reached or because the order would be withheld
+   * again.
+   */
+  isDeferred(range: HeldRange): boolean {
+    if (this.#ordersLeft === 0) return true;
     if (isLikelyConnected(range)) return false;
-    const isWithheld = range.isUnconnected && !this.#mayConnect;
-    return isWithheld || this.#connectingLeft === 0;
+    const isLikelyWithheld = range.isLastOrderWithheld && !this.#mayConnect;
+    return isLikelyWithheld || this.#connectingLeft === 0;
   }
 
-  /** An order ended; undefined for one of another term. */
-  end(id: number, now: number): PendingOrder | undefined {
+  /**
+   * Ends the tracking of an order and returns it; undefined if it is of another
+   * term.
+   */
+  complete(id: number, now: number): PendingOrder | undefined {
     const order = this.#pending.get(id);
     if (order === undefined) return undefined;
     this.#pending.delete(id);
@@ -156,18 +183,21 @@
     return order;
   }
 
-  /** Until when the server of a range may hold its keys at the latest. */
+  /**
+   * Returns the latest time until which the server of a range may hold its
+   * keys.
+   */
   heldUntil(
-    { order: id, leaseEnd, doubtEnd, inheritedEnd }: HeldRange,
+    { order: id, leaseEnd, unansweredEnd, inheritedEnd }: HeldRange,
   ): number {
     const order = id === null ? undefined : this.#pending.get(id);
     const inFlight = order?.kind === "grant"
-      ? unansweredEnd(order.sentAt, order.hold, this.timing)
+      ? unansweredGrantEnd(order.sentAt, order.hold, this.timing)
       : 0;
-    return Math.max(leaseEnd, doubtEnd, inheritedEnd, inFlight);
+    return Math.max(leaseEnd, unansweredEnd, inheritedEnd, inFlight);
   }
 
-  #add(
+  #track(
     table: RangeTable,
     range: HeldRange,
     kind: PendingOrder["kind"],
@@ -175,11 +205,11 @@
     token: number,
     now: number,
   ): number {
-    this.#left -= 1;
+    this.#ordersLeft -= 1;
     if (!isLikelyConnected(range)) this.#connectingLeft -= 1;
     const id = this.nextOrder();
     range.order = id;
-    range.isUnconnected = false;
+    range.isLastOrderWithheld = false;
     const address = range.address!;
     const { incarnation } = range;
     const order = { table, range, kind, sentAt: now, hold, token };
@@ -188,8 +218,13 @@
   }
 }
 
-/** Whether a connection to the server of a range is likely to be open: the server has
- * accepted a grant of this term, and the last order was not withheld. */
-function isLikelyConnected({ isFenced, isUnconnected }: HeldRange): boolean {
-  return isFenced && !isUnconnected;
+/**
+ * Whether a connection to the server of a range is likely to be open: the
+ * server has accepted a grant of this term, and the last order was not
+ * withheld.
+ */
+function isLikelyConnected(
+  { isFenced, isLastOrderWithheld }: HeldRange,
+): boolean {
+  return isFenced && !isLastOrderWithheld;
 }
--- a/src/core/keyspace/placement.ts
+++ b/src/core/keyspace/placement.ts
@@ -1,66 +1,92 @@
 /**
- * Decides which server should hold which keys, from measured load.
+ * Decides from the measured load which server should hold which keys.
  *
  * @module
  */
 import { KEY_COUNT, keyCount, type KeyRange } from "./assignment.ts";
 import type { HeldRange } from "./held_range.ts";
-import { samplesIn } from "./key_load.ts";
+import { countInRange } from "./key_load.ts";
 
-/** Share of a range's weight that its number of keys makes, the rest is its
- * measured load: cold keys are spread too, but cheaply. */
-const KEY_SHARE = 0.2;
-/** Samples below which the measured load says little, so that only the number
- * of keys counts. */
-const FEWEST_SAMPLES = 30;
-/** A server is relieved when it carries this many times its fair share. A move
- * makes its keys wait for the work that runs on them, so small differences
- * stay. */
-const OVERLOAD = 1.35;
-/** How many standard deviations above its fair share the requests of a server
- * must be: a second's sample scatters, and chasing that moves keys for nothing. */
+/**
+ * Share of a range's weight that its number of keys determines; its measured
+ * load determines the rest. Keys without requests are spread too, but with
+ * little weight.
+ */
+const KEY_COUNT_WEIGHT = 0.2;
+/**
+ * Number of samples below which the measured load is not significant and only
+ * the number of keys counts.
+ */
+const MIN_SAMPLES = 30;
+/**
+ * Ratio of a server's load to the fair load above which keys move away from it.
+ * Requests for moving keys wait for the running requests of these keys, so
+ * small differences are not corrected.
+ */
+const OVERLOAD_RATIO = 1.35;
+/**
+ * Standard deviations by which a server's load must exceed the fair load. The
+ * samples of a second vary by chance, and moves that follow this variation have
+ * no benefit.
+ */
 const SIGNIFICANCE = 2.2;
-/** Share of its server's load below which the load of a new server must stay
- * for a piece that cannot be divided. */
-const CLEAR_GAIN = 0.8;
-/** Share of a server's fair share below which a move is not worth its orders. */
-const SMALLEST_MOVE_SHARE = 0.15;
+/**
+ * An indivisible piece moves only if the load of its new server then stays
+ * below this share of the load of its present server.
+ */
+const MAX_RELATIVE_LOAD = 0.8;
+/**
+ * Smallest move, as a share of the fair load. Smaller moves are not worth their
+ * orders.
+ */
+const MIN_MOVE_SHARE = 0.15;
 
-/** Share of its fair share below which a server counts as idle: it has just
- * joined, and no other need carry too much for it to get keys. */
+/**
+ * Load below which a server counts as idle, as a share of the fair load. Such a
+ * server has usually just joined, and gets keys even if no other server is
+ * overloaded.
+ */
 const IDLE_SHARE = 0.3;
-/** What one server gives an idle one at most in a look, and what the idle one
- * is brought to, as shares of a fair share. */
-const GIFT_SHARE = 0.25;
-const FED_SHARE = 0.75;
+/**
+ * Largest transfer from one server to an idle one in one check, and the load up
+ * to which idle servers are filled, as shares of the fair load.
+ */
+const IDLE_TRANSFER_SHARE = 0.25;
+const IDLE_TARGET_SHARE = 0.75;
 
 /** A server that may get keys. */
 export interface Candidate {
   id: string;
-  /** Relative speed; 1 is usual. */
+  /** Speed relative to other servers; 1 is the usual speed. */
   speed: number;
 }
 
-/** Keys of one server that should go to another. */
+/** Keys of one server that should move to another. */
 export interface Move {
   piece: KeyRange;
   destination: string;
 }
 
-/** Keys of one server, and where they should go, or null for nowhere. */
+/**
+ * Keys of one server and the server they should move to; null if they should
+ * stay.
+ */
 interface Proposal {
   piece: KeyRange;
   destination: string | null;
 }
 
-/** Weighs ranges for one decision. */
+/** Computes weights and moves for one decision. */
 export class Placement {
   private constructor(
     private readonly samples: readonly number[],
     private readonly candidates: readonly Candidate[],
   ) {}
 
-  /** Weighs by `samples`: ascending keys of recent requests. */
+  /**
+   * Creates a placement that derives weights from `samples`: the keys of recent
+   * requests in ascending order.
+   */
   static create(
     samples: readonly number[],
     candidates: readonly Candidate[],
@@ -68,15 +94,15 @@
     return new Placement(samples, candidates);
   }
 
-  /** Share of all work that a range makes, 0 to 1. */
+  /** Returns the share of a range in all work, from 0 to 1. */
   weight(range: KeyRange): number {
     const keys = keyCount(range) / KEY_COUNT;
-    if (this.samples.length < FEWEST_SAMPLES) return keys;
-    const load = samplesIn(this.samples, range) / this.samples.length;
-    return KEY_SHARE * keys + (1 - KEY_SHARE) * load;
+    if (this.samples.length < MIN_SAMPLES) return keys;
+    const load = countInRange(this.samples, range) / this.samples.length;
+    return KEY_COUNT_WEIGHT * keys + (1 - KEY_COUNT_WEIGHT) * load;
   }
 
-  /** Work of each candidate relative to its speed. */
+  /** Returns the work of each candidate divided by its speed. */
   loads(ranges: readonly HeldRange[]): Map<string, number> {
     const loads = new Map(this.candidates.map(({ id }) => [id, 0]));
     for (const range of ranges) {
@@ -90,7 +116,7 @@
     return loads;
   }
 
-  /** The candidate that a range without one should go to. */
+  /** Chooses the candidate for a range, and adds the range to its load. */
   choose(loads: Map<string, number>, range: KeyRange): string | null {
     let best: Candidate | null = null;
     let lowest = Infinity;
@@ -106,20 +132,25 @@
     return best.id;
   }
 
-  /** Cuts a range into pieces that each make at most `most` of all work. */
-  pieces(range: KeyRange, most: number): KeyRange[] {
+  /**
+   * Splits a range into pieces of at most `maxWeight`. A single key may weigh
+   * more.
+   */
+  split(range: KeyRange, maxWeight: number): KeyRange[] {
     const pieces: KeyRange[] = [];
     let rest: KeyRange | null = { first: range.first, last: range.last };
-    while (rest !== null && this.weight(rest) > most && keyCount(rest) > 1) {
-      const piece = this.#prefix(rest, most);
+    while (
+      rest !== null && this.weight(rest) > maxWeight && keyCount(rest) > 1
+    ) {
+      const piece = this.#prefix(rest, maxWeight);
       pieces.push(piece);
-      rest = after(rest, piece);
+      rest = remainder(rest, piece);
     }
     if (rest !== null) pieces.push(rest);
     return pieces;
   }
 
-  /** Moves from the servers that carry too much to those that carry least. */
+  /** Returns moves from the overloaded servers to those with the least load. */
   moves(ranges: readonly HeldRange[]): Move[] {
     const loads = this.loads(ranges);
     const speeds = new Map(
@@ -131,105 +162,116 @@
     );
     if (this.candidates.length < 2) return [];
     const total = ranges.reduce((sum, each) => sum + this.weight(each), 0);
-    const fair = total / totalSpeed;
-    const limit = Math.max(fair * OVERLOAD, fair + this.#scatter(fair));
+    const fairLoad = total / totalSpeed;
+    const limit = Math.max(
+      fairLoad * OVERLOAD_RATIO,
+      fairLoad + this.#samplingError(fairLoad),
+    );
     const moves: Move[] = [];
-    for (const { first, last, server } of this.#heaviestFirst(ranges, loads)) {
+    for (
+      const { first, last, server } of this.#movableByWeight(ranges, loads)
+    ) {
       const from = server!;
       let rest: KeyRange | null = { first, last };
-      // Each move brings at most one fair share, and keys that have become busy
-      // may make several.
+      // Each move carries at most one fair load, and keys that have become busy
+      // may need several moves.
       while (rest !== null && loads.get(from)! >= limit) {
-        const excess = (loads.get(from)! - fair) * speeds.get(from)!;
-        if (excess < SMALLEST_MOVE_SHARE * fair) break;
-        const { piece, destination } = this.#relieve(
+        const excess = (loads.get(from)! - fairLoad) * speeds.get(from)!;
+        if (excess < MIN_MOVE_SHARE * fairLoad) break;
+        const { piece, destination } = this.#offload(
           from,
           rest,
           excess,
-          fair,
+          fairLoad,
           loads,
           speeds,
         );
-        // A key that is best left where it is has the server to itself: the keys
-        // beside it go.
+        // If a busy key is best left on its server, the other keys of that
+        // server move away instead.
         if (destination !== null) moves.push({ piece, destination });
-        rest = after(rest, piece);
+        rest = remainder(rest, piece);
       }
     }
     return moves.length > 0
       ? moves
-      : this.#feedIdle(ranges, fair, loads, speeds);
+      : this.#fillIdle(ranges, fairLoad, loads, speeds);
   }
 
-  /** Moves a little from each of the busiest servers to those that are idle. */
-  #feedIdle(
+  /** Moves a small share from each of the busiest servers to idle ones. */
+  #fillIdle(
     ranges: readonly HeldRange[],
-    fair: number,
+    fairLoad: number,
     loads: Map<string, number>,
     speeds: Map<string, number>,
   ): Move[] {
-    const idle = [...loads].filter(([, load]) => load < IDLE_SHARE * fair)
+    const idle = [...loads].filter(([, load]) => load < IDLE_SHARE * fairLoad)
       .map(([id]) => id);
     if (idle.length === 0) return [];
     const moves: Move[] = [];
-    const donors = this.#heaviestFirst(ranges, loads).sort((a, b) =>
+    const sources = this.#movableByWeight(ranges, loads).sort((a, b) =>
       loads.get(b.server!)! - loads.get(a.server!)!
     );
-    const used = new Set<string>();
-    for (const range of donors) {
+    const usedSources = new Set<string>();
+    for (const range of sources) {
       const from = range.server!;
-      const destination = idle.find((id) => loads.get(id)! < FED_SHARE * fair);
+      const destination = idle.find((id) =>
+        loads.get(id)! < IDLE_TARGET_SHARE * fairLoad
+      );
       if (destination === undefined) break;
-      if (used.has(from) || loads.get(from)! < fair) continue;
-      const gift = GIFT_SHARE * fair * speeds.get(from)!;
-      const piece = this.#prefix(range, gift);
+      if (usedSources.has(from) || loads.get(from)! < fairLoad) continue;
+      const transfer = IDLE_TRANSFER_SHARE * fairLoad * speeds.get(from)!;
+      const piece = this.#prefix(range, transfer);
       const weight = this.weight(piece);
-      if (weight === 0 || weight > 2 * gift) continue;
-      used.add(from);
-      shift(loads, from, -weight / speeds.get(from)!);
-      shift(loads, destination, weight / speeds.get(destination)!);
+      if (weight === 0 || weight > 2 * transfer) continue;
+      usedSources.add(from);
+      addLoad(loads, from, -weight / speeds.get(from)!);
+      addLoad(loads, destination, weight / speeds.get(destination)!);
       moves.push({ piece, destination });
     }
     return moves;
   }
 
-  /** What a share of `fair` may exceed itself by through chance alone. */
-  #scatter(fair: number): number {
+  /** Returns by how much a fair load may be exceeded by chance alone. */
+  #samplingError(fairLoad: number): number {
     const count = this.samples.length;
-    if (count < FEWEST_SAMPLES) return 0;
-    return SIGNIFICANCE * Math.sqrt(fair * count) / count;
+    if (count < MIN_SAMPLES) return 0;
+    return SIGNIFICANCE * Math.sqrt(fairLoad * count) / count;
   }
 
-  /** Takes up to `excess` off the front of `range` for the idlest server. */
-  #relieve(
+  /**
+   * Takes keys of up to `excess` weight from the start of `range` for the
+   * server with the least load.
+   */
+  #offload(
     from: string,
     range: KeyRange,
     excess: number,
-    fair: number,
+    fairLoad: number,
     loads: Map<string, number>,
     speeds: Map<string, number>,
   ): Proposal {
-    const receiver = idlest(loads, from);
-    const room = (fair - loads.get(receiver)!) * speeds.get(receiver)!;
-    const smallest = SMALLEST_MOVE_SHARE * fair;
+    const receiver = leastLoaded(loads, from);
+    const room = (fairLoad - loads.get(receiver)!) * speeds.get(receiver)!;
+    const smallest = MIN_MOVE_SHARE * fairLoad;
     const amount = Math.max(smallest, Math.min(excess, room));
     const piece = this.#prefix(range, amount);
     const weight = this.weight(piece);
-    // What cannot be divided would only move the overload.
+    // Moving an indivisible piece to that server would only move the overload.
     if (weight > 2 * amount) {
-      const destination = this.#improve(from, piece, loads, speeds);
+      const destination = this.#moveIndivisible(from, piece, loads, speeds);
       return { piece, destination };
     }
-    shift(loads, from, -weight / speeds.get(from)!);
-    shift(loads, receiver, weight / speeds.get(receiver)!);
+    addLoad(loads, from, -weight / speeds.get(from)!);
+    addLoad(loads, receiver, weight / speeds.get(receiver)!);
     return { piece, destination: receiver };
   }
 
   /**
-   * Moves a piece that alone overloads a server, such as one busy key, to where
-   * it would be done clearly sooner: to the fastest server, as a rule.
+   * Moves a piece that overloads a server by itself, such as one busy key, to
+   * the server that would clearly complete its requests sooner, usually the
+   * fastest one.
    */
-  #improve(
+  #moveIndivisible(
     from: string,
     piece: KeyRange,
     loads: Map<string, number>,
@@ -237,20 +279,20 @@
   ): string | null {
     const weight = this.weight(piece);
     let destination: string | null = null;
-    let lowest = loads.get(from)! * CLEAR_GAIN;
+    let lowest = loads.get(from)! * MAX_RELATIVE_LOAD;
     for (const [id, load] of loads) {
-      const after = load + weight / speeds.get(id)!;
-      if (id === from || after >= lowest) continue;
-      lowest = after;
+      const newLoad = load + weight / speeds.get(id)!;
+      if (id === from || newLoad >= lowest) continue;
+      lowest = newLoad;
       destination = id;
     }
     if (destination === null) return null;
-    shift(loads, from, -weight / speeds.get(from)!);
+    addLoad(loads, from, -weight / speeds.get(from)!);
     loads.set(destination, lowest);
     return destination;
   }
 
-  #heaviestFirst(
+  #movableByWeight(
     ranges: readonly HeldRange[],
     loads: Map<string, number>,
   ): HeldRange[] {
@@ -264,13 +306,16 @@
       .map(({ range }) => range);
   }
 
-  /** The longest prefix of `range` that weighs at most `most`; one key at least. */
-  #prefix(range: KeyRange, most: number): KeyRange {
+  /**
+   * Returns the longest prefix of `range` that weighs at most `maxWeight`, or
+   * its first key if that weighs more.
+   */
+  #prefix(range: KeyRange, maxWeight: number): KeyRange {
     let low = range.first;
     let high = range.last;
     while (low < high) {
       const middle = (low + high + 1) >> 1;
-      if (this.weight({ first: range.first, last: middle }) <= most) {
+      if (this.weight({ first: range.first, last: middle }) <= maxWeight) {
         low = middle;
       } else {
         high = middle - 1;
@@ -280,22 +325,25 @@
   }
 }
 
-/** The server with the least load but `from`; there are two or more. */
-function idlest(loads: Map<string, number>, from: string): string {
-  let idlest: string | null = null;
+/**
+ * Returns the server with the least load other than `from`. There must be two
+ * or more.
+ */
+function leastLoaded(loads: Map<string, number>, from: string): string {
+  let least: string | null = null;
   for (const [id, load] of loads) {
     if (id === from) continue;
-    if (idlest === null || load < loads.get(idlest)!) idlest = id;
+    if (least === null || load < loads.get(least)!) least = id;
   }
-  return idlest!;
+  return least!;
 }
 
-function shift(loads: Map<string, number>, id: string, change: number): void {
+function addLoad(loads: Map<string, number>, id: string, change: number): void {
   loads.set(id, loads.get(id)! + change);
 }
 
-/** What is left of a range behind a piece of it, or null. */
-function after(range: KeyRange, piece: KeyRange): KeyRange | null {
+/** Returns the part of a range after one of its pieces, or null. */
+function remainder(range: KeyRange, piece: KeyRange): KeyRange | null {
   if (piece.last >= range.last) return null;
   return { first: piece.last + 1, last: range.last };
 }
--- a/src/core/keyspace/placement_test.ts
+++ b/src/core/keyspace/placement_test.ts
@@ -4,30 +4,30 @@
 import { type HeldRange, vacantRange } from "./held_range.ts";
 import { Placement } from "./placement.ts";
 
-function held(server: string, first: number, last: number): HeldRange {
+function heldRange(server: string, first: number, last: number): HeldRange {
   const range = vacantRange({ first, last }, 0);
   return { ...range, state: "held", server };
 }
 
-const EVEN = [
+const EQUAL_SERVERS = [
   { id: "a", speed: 1 },
   { id: "b", speed: 1 },
   { id: "c", speed: 1 },
 ];
 const RANGES = [
-  held("a", 0, 21_844),
-  held("b", 21_845, 43_689),
-  held("c", 43_690, KEY_COUNT - 1),
+  heldRange("a", 0, 21_844),
+  heldRange("b", 21_845, 43_689),
+  heldRange("c", 43_690, KEY_COUNT - 1),
 ];
 
-test("placement: pieces cover a range and none weighs too much", (t) => {
+test("placement: the pieces of a range cover it and none exceeds the maximum weight", (t) => {
   const keys = fc.array(fc.nat(KEY_COUNT - 1), { maxLength: 500 });
   fc.assert(
     fc.property(keys, (samples) => {
       const sorted = [...samples].sort((a, b) => a - b);
-      const placement = Placement.create(sorted, EVEN);
+      const placement = Placement.create(sorted, EQUAL_SERVERS);
       const whole = { first: 100, last: 60_000 };
-      const pieces = placement.pieces(whole, 0.1);
+      const pieces = placement.split(whole, 0.1);
       const total = pieces.reduce((sum, each) => sum + keyCount(each), 0);
       if (total !== keyCount(whole)) throw new Error("keys are missing");
       for (const piece of pieces) {
@@ -40,16 +40,16 @@
   t.pass();
 });
 
-test("placement: even load moves nothing, nor does chance", (t) => {
+test("placement: neither even load nor random variation causes moves", (t) => {
   const samples = Array.from({ length: 90 }, (_, i) => i * 728);
-  t.deepEqual(Placement.create(samples, EVEN).moves(RANGES), []);
+  t.deepEqual(Placement.create(samples, EQUAL_SERVERS).moves(RANGES), []);
   const uneven = [...samples, 5, 9_000, 12_000, 20_000].sort((a, b) => a - b);
-  t.deepEqual(Placement.create(uneven, EVEN).moves(RANGES), []);
+  t.deepEqual(Placement.create(uneven, EQUAL_SERVERS).moves(RANGES), []);
 });
 
-test("placement: busy neighbours are divided", (t) => {
+test("placement: adjacent busy keys are divided among servers", (t) => {
   const busy = Array.from({ length: 300 }, (_, i) => 1_000 + i % 200);
-  const placement = Placement.create(busy.sort((a, b) => a - b), EVEN);
+  const placement = Placement.create(busy.sort((a, b) => a - b), EQUAL_SERVERS);
   t.snapshot(
     placement.moves(RANGES).map(({ piece, destination }) => ({
       ...piece,
@@ -58,31 +58,33 @@
   );
 });
 
-test("placement: one busy key goes to a clearly faster server, or stays", (t) => {
+test("placement: one busy key moves only to a clearly faster server", (t) => {
   const busy = Array.from({ length: 300 }, () => 1_000);
   const ranges = [
-    held("a", 0, 999),
-    held("a", 1_000, 1_000),
-    held("b", 1_001, KEY_COUNT - 1),
+    heldRange("a", 0, 999),
+    heldRange("a", 1_000, 1_000),
+    heldRange("b", 1_001, KEY_COUNT - 1),
   ];
-  const two = (speed: number) => [{ id: "a", speed: 1 }, { id: "b", speed }];
+  const serversWithSpeed = (
+    speed: number,
+  ) => [{ id: "a", speed: 1 }, { id: "b", speed }];
   const movesKey = (speed: number) =>
-    Placement.create(busy, two(speed)).moves(ranges)
+    Placement.create(busy, serversWithSpeed(speed)).moves(ranges)
       .some(({ piece }) => piece.first === 1_000 && piece.last === 1_000);
   t.false(movesKey(1));
   t.true(movesKey(2));
 });
 
-test("placement: keys that become busy at once are spread in one look", (t) => {
+test("placement: keys that become busy together are spread in one check", (t) => {
   const servers = Array.from({ length: 10 }, (_, i) => ({
     id: `s${i}`,
     speed: 1,
   }));
   const size = KEY_COUNT / servers.length;
   const ranges = servers.map(({ id }, i) =>
-    held(id, Math.round(i * size), Math.round((i + 1) * size) - 1)
+    heldRange(id, Math.round(i * size), Math.round((i + 1) * size) - 1)
   );
-  // Two thirds of all requests ask for 200 neighbours of the first server.
+  // Two thirds of all requests are for 200 adjacent keys of the first server.
   const samples = Array.from(
     { length: 900 },
     (_, i) => i % 3 === 0 ? i * 72 : 3_000 + i % 200,
@@ -106,7 +108,7 @@
   t.true(heaviest < 0.2, `${heaviest}`);
 });
 
-test("placement: a server that has joined gets keys although nobody carries too much", (t) => {
+test("placement: a new server gets keys even if no other is overloaded", (t) => {
   for (const count of [3, 11]) {
     const servers = Array.from({ length: count + 1 }, (_, i) => ({
       id: `s${i}`,
@@ -114,7 +116,7 @@
     }));
     const size = KEY_COUNT / count;
     const ranges = servers.slice(0, count).map(({ id }, i) =>
-      held(id, Math.round(i * size), Math.round((i + 1) * size) - 1)
+      heldRange(id, Math.round(i * size), Math.round((i + 1) * size) - 1)
     );
     const placement = Placement.create([], servers);
     const moves = placement.moves(ranges);
@@ -128,7 +130,7 @@
   }
 });
 
-test("placement: a busy key that is best left has its server to itself", (t) => {
+test("placement: other keys leave the server of a busy key that stays", (t) => {
   // Server a is the fastest and holds the busy key in front of a wide range.
   const busy = Array.from({ length: 800 }, () => 0);
   const others = Array.from({ length: 300 }, (_, i) => 1 + i * 218);
--- a/src/core/keyspace/range_servers_test.ts
+++ b/src/core/keyspace/range_servers_test.ts
@@ -11,7 +11,7 @@
   availabilityZone: "z",
 });
 
-/** An order to server `a` that another server refused. */
+/** Creates an order to server `a` that another server has refused. */
 function refusedOrder(address: string): PendingOrder {
   const range = vacantRange({ first: 0, last: 9 }, 0);
   range.server = "a";
@@ -27,22 +27,22 @@
   };
 }
 
-test("range servers: a run that has ended is no run of another address or start", (t) => {
+test("range servers: the end of a process does not apply to another address or incarnation", (t) => {
   const fleet = Fleet.create();
   fleet.apply([ENTRY], [], 0);
   const servers = RangeServers.create(fleet);
-  servers.noteEnd(refusedOrder("a:1"));
+  servers.recordEnd(refusedOrder("a:1"));
   t.true(servers.hasEnded("a"));
-  t.deepEqual([...servers.suspects([])], ["a"]);
-  // An entry that named a wrong address is put right.
+  t.deepEqual([...servers.suspectedServers([])], ["a"]);
+  // The entry had a wrong address, which is corrected.
   fleet.apply([{ ...ENTRY, address: "a:2" }], [], 1);
   t.false(servers.hasEnded("a"));
   fleet.apply([{ ...ENTRY, incarnation: 200 }], [], 2);
   t.false(servers.hasEnded("a"));
-  t.deepEqual([...servers.suspects([])], []);
+  t.deepEqual([...servers.suspectedServers([])], []);
 });
 
-test("range servers: keys of an evacuated zone leave one after the other, those that neighbour apart", (t) => {
+test("range servers: keys of an evacuated zone are released gradually, adjacent keys at different times", (t) => {
   const fleet = Fleet.create();
   fleet.apply([ENTRY], [], 0);
   const servers = RangeServers.create(fleet);
@@ -51,17 +51,17 @@
     range.server = "a";
     return range;
   });
-  const leaving = (now: number) =>
-    ranges.filter((range) => servers.hasToLeave(range, now)).length;
-  t.is(leaving(0), 0);
+  const countDue = (now: number) =>
+    ranges.filter((range) => servers.isReleaseDue(range, now)).length;
+  t.is(countDue(0), 0);
   fleet.evacuate({ evacuated: ["z"], restored: [] }, 1_000);
-  t.false(servers.isStaying("a"));
-  t.true(leaving(1_010) <= 1);
-  const half = leaving(2_000);
+  t.false(servers.isAvailable("a"));
+  t.true(countDue(1_010) <= 1);
+  const half = countDue(2_000);
   t.true(half >= 6 && half <= 10, `${half}`);
-  t.is(leaving(3_000), 16);
+  t.is(countDue(3_000), 16);
   fleet.evacuate({ evacuated: [], restored: ["z"] }, 4_000);
-  t.is(leaving(4_000), 0);
+  t.is(countDue(4_000), 0);
   fleet.apply([{ ...ENTRY, isDraining: true }], [], 5_000);
-  t.is(leaving(5_000), 16);
+  t.is(countDue(5_000), 16);
 });
--- a/src/core/keyspace/range_table.ts
+++ b/src/core/keyspace/range_table.ts
@@ -1,6 +1,6 @@
 /**
- * All ranges of one service at the term holder, with the count of changes that
- * tells which of them are recorded.
+ * All ranges of one service at the term holder. Each change has a number, the
+ * revision, which shows whether a range is recorded in the store.
  *
  * @module
  */
@@ -13,30 +13,30 @@
 } from "./assignment.ts";
 import { type HeldRange, vacantRange } from "./held_range.ts";
 
-/** See the module's comment. */
+/** Ranges of one service; see the module's comment. */
 export class RangeTable {
-  /** Changes so far. */
+  /** Number of changes so far. */
   revision = 0;
-  /** Changes that the store has confirmed. */
-  recorded = 0;
+  /** Newest revision that the store has confirmed. */
+  recordedRevision = 0;
 
   private constructor(
     readonly service: string,
     public ranges: HeldRange[],
   ) {}
 
-  /** A table in which no key is held. */
+  /** Creates a table in which no server holds a key. */
   static create(service: string): RangeTable {
     const all = { first: 0, last: KEY_COUNT - 1 };
     return new RangeTable(service, [vacantRange(all, 0)]);
   }
 
   /**
-   * Continues what an older holder recorded. Its servers are to be granted
-   * their keys anew; one that does not answer may hold them until
-   * `predecessorEnd`.
+   * Restores the ranges that an older term holder recorded. Their servers have
+   * to be granted the keys again. A server that does not answer may hold them
+   * until `predecessorEnd`.
    */
-  static resume(
+  static restore(
     assignment: Assignment,
     predecessorEnd: number,
   ): RangeTable {
@@ -56,51 +56,53 @@
     return new RangeTable(assignment.service, ranges);
   }
 
-  /** Whether some range got a server that is not recorded: all else that
-   * changes need not outlive the holder. */
+  /**
+   * Whether some range has been assigned to a server that is not recorded yet.
+   * No other change needs to outlive the term holder.
+   */
   get isDirty(): boolean {
     return this.ranges.some((each) =>
       each.state === "assigned" && !this.isRecorded(each)
     );
   }
 
-  /** Whether no key was ever given to a server. */
-  get isNew(): boolean {
+  /** Whether no key was ever assigned to a server. */
+  get isNeverAssigned(): boolean {
     return this.ranges.every(({ state, revision }) =>
       state === "vacant" && revision === 0
     );
   }
 
-  /** Notes that `range` has changed in a way that others have to know. */
-  changed(range: HeldRange): void {
+  /** Numbers a change of `range` that other VMs have to know. */
+  markChanged(range: HeldRange): void {
     this.revision += 1;
     range.revision = this.revision;
   }
 
   /** Whether the state of `range` is recorded. */
   isRecorded(range: HeldRange): boolean {
-    return range.revision <= this.recorded;
+    return range.revision <= this.recordedRevision;
   }
 
-  /** All ranges as others are told. */
+  /** Returns all ranges as they are sent to others. */
   snapshot(term: number, version: number): Assignment {
-    const ranges = this.ranges.map(describeRange);
+    const ranges = this.ranges.map(toAssignedRange);
     return { service: this.service, term, version, ranges };
   }
 
-  /** The ranges that have changed after `revision`; -1 for all. */
+  /** Returns the ranges that have changed after `revision`; -1 for all. */
   changesSince(revision: number, term: number, version: number): Assignment {
     const ranges = this.ranges
       .filter((each) => each.revision > revision)
-      .map(describeRange);
+      .map(toAssignedRange);
     return { service: this.service, term, version, ranges };
   }
 
   /**
-   * Cuts `piece` out of `range` and returns it; the rest stays as it is. Only
-   * for a range without an order in flight.
+   * Splits `piece` off `range` and returns it. The remaining keys keep their
+   * state. Only for a range without an order in flight.
    */
-  cut(range: HeldRange, piece: KeyRange): HeldRange {
+  split(range: HeldRange, piece: KeyRange): HeldRange {
     const parts: HeldRange[] = [];
     if (piece.first > range.first) {
       parts.push({ ...range, last: piece.first - 1 });
@@ -114,40 +116,52 @@
     return middle;
   }
 
-  /** Joins neighbours that one server holds, so that one order renews them. */
-  joinNeighbours(now: number): void {
-    const joined: HeldRange[] = [];
+  /**
+   * Merges adjacent ranges that one server holds, so that one order renews
+   * them.
+   */
+  mergeAdjacent(now: number): void {
+    const merged: HeldRange[] = [];
     for (const range of this.ranges) {
-      const before = joined.at(-1);
-      if (before === undefined || !canJoin(before, range)) {
-        joined.push(range);
+      const previous = merged.at(-1);
+      if (previous === undefined || !canMerge(previous, range)) {
+        merged.push(range);
         continue;
       }
-      before.last = range.last;
-      before.addresses = [
-        ...new Set([...before.addresses, ...range.addresses]),
+      previous.last = range.last;
+      previous.addresses = [
+        ...new Set([...previous.addresses, ...range.addresses]),
       ];
-      before.leaseEnd = Math.max(before.leaseEnd, range.leaseEnd);
-      before.inheritedEnd = Math.max(before.inheritedEnd, range.inheritedEnd);
-      before.orderEndedAt = Math.max(before.orderEndedAt, range.orderEndedAt);
-      before.doubtEnd = Math.max(before.doubtEnd, range.doubtEnd);
-      before.isFenced = before.isFenced && range.isFenced;
-      before.revision = Math.max(before.revision, range.revision);
-      before.dueAt = now;
+      previous.leaseEnd = Math.max(previous.leaseEnd, range.leaseEnd);
+      previous.inheritedEnd = Math.max(
+        previous.inheritedEnd,
+        range.inheritedEnd,
+      );
+      previous.orderEndedAt = Math.max(
+        previous.orderEndedAt,
+        range.orderEndedAt,
+      );
+      previous.unansweredEnd = Math.max(
+        previous.unansweredEnd,
+        range.unansweredEnd,
+      );
+      previous.isFenced = previous.isFenced && range.isFenced;
+      previous.revision = Math.max(previous.revision, range.revision);
+      previous.dueAt = now;
     }
-    this.ranges = joined;
+    this.ranges = merged;
   }
 }
 
-function describeRange(
+function toAssignedRange(
   { first, last, server, address, state }: HeldRange,
 ): AssignedRange {
   return { first, last, server, address, isOpen: state === "held" };
 }
 
-function canJoin(a: HeldRange, b: HeldRange): boolean {
-  const areHeld = a.state === "held" && b.state === "held";
-  const areIdle = a.order === null && b.order === null;
-  return areHeld && areIdle && a.server === b.server &&
+function canMerge(a: HeldRange, b: HeldRange): boolean {
+  const isEachHeld = a.state === "held" && b.state === "held";
+  const isEachIdle = a.order === null && b.order === null;
+  return isEachHeld && isEachIdle && a.server === b.server &&
     a.failures === 0 && b.failures === 0;
 }
--- a/src/core/keyspace/range_transitions.ts
+++ b/src/core/keyspace/range_transitions.ts
@@ -1,5 +1,5 @@
 /**
- * Steps from one state of a range to another, as they are made for several reasons.
+ * State transitions of ranges that have more than one cause.
  *
  * @module
  */
@@ -7,40 +7,48 @@
 import type { RangeServers } from "./range_servers.ts";
 import type { RangeTable } from "./range_table.ts";
 
-/** Time that the news of closed keys takes to the other VMs, in milliseconds:
- * requests sent meanwhile would only be refused by the server. */
-export const NEWS_TIME = 5;
+/**
+ * Delay between closing keys and requesting their release, in milliseconds, in
+ * which the other VMs learn that the keys are closed. Without it, the server
+ * would refuse the requests that they still send.
+ */
+export const PROPAGATION_DELAY = 5;
 
-/** See the module's comment. */
+/** Applies state transitions; see the module's comment. */
 export class RangeTransitions {
   private constructor(private readonly servers: RangeServers) {}
 
-  /** Steps of ranges that `servers` hold. */
+  /** Creates the transitions of ranges that `servers` hold. */
   static create(servers: RangeServers): RangeTransitions {
     return new RangeTransitions(servers);
   }
 
-  /** No more requests are sent for the keys; their server is asked to release them,
-   * or its lease is waited for if it is lost. */
+  /**
+   * Stops sending requests for the keys. The server is then asked to release
+   * them, or, if it is lost, its lease has to expire.
+   */
   close(table: RangeTable, range: HeldRange, now: number): void {
     const isLost = this.servers.isLost(range, now);
     range.state = isLost ? "expiring" : "closing";
-    range.dueAt = now + NEWS_TIME;
+    range.dueAt = now + PROPAGATION_DELAY;
     range.closedAt = now;
-    table.changed(range);
+    table.markChanged(range);
   }
 
-  /** Nobody holds the keys. */
+  /** Marks the keys as held by no server. */
   vacate(table: RangeTable, range: HeldRange): void {
     const vacant = vacantRange(range, 0);
     vacant.handover = range.handover;
     vacant.destination = range.destination;
     vacant.closedAt = range.closedAt;
     Object.assign(range, vacant);
-    table.changed(range);
+    table.markChanged(range);
   }
 
-  /** Gives a range without a holder to a server, once that is recorded. */
+  /**
+   * Assigns a range that no server holds to a server, which gets a grant once
+   * this is recorded.
+   */
   assign(
     table: RangeTable,
     range: HeldRange,
@@ -52,15 +60,17 @@
     range.address = this.servers.address(server);
     range.isFenced = false;
     range.dueAt = now;
-    table.changed(range);
+    table.markChanged(range);
   }
 
-  /** Assigns keys to the server that is on record for them, so that nothing has
-   * to be written first. */
+  /**
+   * Assigns keys to the server that is already recorded for them, so that no
+   * write to the store is needed first.
+   */
   reassign(table: RangeTable, range: HeldRange, now: number): void {
     range.destination = null;
     range.failures = 0;
     this.assign(table, range, range.server!, now);
-    range.revision = Math.min(range.revision, table.recorded);
+    range.revision = Math.min(range.revision, table.recordedRevision);
   }
 }
--- a/src/core/keyspace/record_writer.ts
+++ b/src/core/keyspace/record_writer.ts
@@ -1,38 +1,41 @@
 /**
- * Keeps the record of a term up to date: one write at a time, and one that got
- * no answer is repeated under its number, which the store carries out once.
+ * Writes the assignments of a term to the store, one write at a time. An
+ * unanswered write is repeated with its sequence number, so that the store
+ * applies it only once.
  *
  * @module
  */
 import type { AssignmentWrite } from "./keyspace_effect.ts";
 import type { RangeTable } from "./range_table.ts";
 
-/** Pause before a write without an answer is sent again, in milliseconds. */
-const RETRY_PAUSE = 150;
+/** Delay before an unanswered write is repeated, in milliseconds. */
+const RETRY_DELAY = 150;
 
 /** A write that the store has not confirmed. */
 interface PendingWrite {
   effect: AssignmentWrite;
-  /** Revisions that it records. */
+  /** Revision of each table that the write contains. */
   revisions: Map<RangeTable, number>;
   /** When to send it again; Infinity while it is in flight. */
   sendAt: number;
 }
 
-/** See the module's comment. */
+/** Writes the records of one term; see the module's comment. */
 export class RecordWriter {
-  /** The write that is not confirmed yet, or null. */
+  /** The unconfirmed write, or null. */
   #write: PendingWrite | null = null;
-  #count = 0;
+  #writeCount = 0;
 
   private constructor(private readonly term: number) {}
 
-  /** A writer of a term that has written nothing yet. */
+  /** Creates a writer for a term that has written nothing yet. */
   static create(term: number): RecordWriter {
     return new RecordWriter(term);
   }
 
-  /** The write that is due, if there is one; `version` is that of all tables. */
+  /**
+   * Returns the write that is due, or null. `version` is that of all tables.
+   */
   advance(
     tables: readonly RangeTable[],
     version: number,
@@ -45,11 +48,11 @@
     }
     const dirty = tables.filter((each) => each.isDirty);
     if (dirty.length === 0) return null;
-    this.#count += 1;
+    this.#writeCount += 1;
     const effect: AssignmentWrite = {
       kind: "assignments.write",
       term: this.term,
-      sequence: this.#count,
+      sequence: this.#writeCount,
       assignments: dirty.map((table) => table.snapshot(this.term, version)),
     };
     this.#write = {
@@ -60,15 +63,15 @@
     return effect;
   }
 
-  /** The write in flight got no answer that counts. */
-  writeAgain(now: number): void {
-    if (this.#write !== null) this.#write.sendAt = now + RETRY_PAUSE;
+  /** Schedules the write in flight again, because its result is unknown. */
+  scheduleRetry(now: number): void {
+    if (this.#write !== null) this.#write.sendAt = now + RETRY_DELAY;
   }
 
-  /** The store confirmed the write in flight. */
+  /** Confirms the write in flight. */
   written(): void {
     for (const [table, revision] of this.#write?.revisions ?? []) {
-      table.recorded = revision;
+      table.recordedRevision = revision;
     }
     this.#write = null;
   }
--- a/src/core/keyspace/server_end_test.ts
+++ b/src/core/keyspace/server_end_test.ts
@@ -1,10 +1,11 @@
 /**
- * Keys of a server that holds them are never freed early. What frees them before
- * their lease has run out is a sign that the server has ended: another entry at
- * its address, or an order that another server refused. Each test brings a sign
- * that proves nothing about the run that holds the keys. By the registry's
- * contract entries may come from other writers, and then say anything: a service
- * that nobody has named, an address that is another server's.
+ * Keys are never freed while a server may hold them. Before the lease has
+ * expired they are freed only on proof that the server has ended. Each test
+ * brings a sign that proves nothing about the process that holds the keys:
+ * another entry at its address, or an order that another server refused.
+ *
+ * By the registry's contract, entries may come from other writers and contain
+ * anything, such as an unknown service or the address of another server.
  *
  * @module
  */
@@ -30,8 +31,10 @@
   });
 }
 
-/** A holder of two servers, of which `a` has both halves of the keys; no order
- * of older holders is left. */
+/**
+ * Creates a term holder with two servers, of which `a` has both halves of the
+ * keys. No grant of an older term holder is outstanding.
+ */
 function createHolder() {
   const fleet = Fleet.create();
   fleet.apply([entry("a"), entry("b")], [], 0);
@@ -45,95 +48,107 @@
   const next = () => orders += 1;
   const loads = KeyLoads.create();
   const holder = TermHolder.create(2, recorded, timing, fleet, loads, next, 0);
-  const none = { remaining: 0, ordersRemaining: 0 };
+  const noRemainder = { remaining: 0, ordersRemaining: 0 };
   const all = { first: 0, last: KEY_COUNT - 1 };
-  holder.relieve([{ service: "s", ...all, ...none }], 0);
-  /** Orders that are due, by the first key; the store's silence keeps keys from
-   * being moved for balance. */
-  const orderAt = (now: number) =>
+  holder.relieve([{ service: "s", ...all, ...noRemainder }], 0);
+  /**
+   * Returns the due orders by their first key. The silence of the store
+   * prevents moves for load balance.
+   */
+  const ordersAt = (now: number) =>
     new Map(
       holder.advance(["s"], now, Infinity, 800, true).flatMap((each) =>
         "order" in each ? [[each.first, each.order] as const] : []
       ),
     );
-  const end = (order: number | undefined, outcome: OrderOutcome, now: number) =>
-    holder.ordered(order!, outcome, now);
+  const complete = (
+    order: number | undefined,
+    outcome: OrderOutcome,
+    now: number,
+  ) => holder.ordered(order!, outcome, now);
   const owners = () =>
     holder.ranges("s").map(({ first, server, state }) =>
       `${first} ${server} ${state}`
     );
-  return { holder, fleet, orderAt, end, owners };
+  return { holder, fleet, ordersAt, complete, owners };
 }
 
-/** Both halves are granted at 5; then the lower one's orders stay unanswered,
- * while the upper one is renewed, until the lower one has to wait for its lease. */
-function loseOrdersOfLowerHalf() {
-  const world = createHolder();
-  const { orderAt, end } = world;
-  const first = orderAt(0);
-  end(first.get(0), ACCEPTED, 5);
-  end(first.get(HALF), ACCEPTED, 5);
+/**
+ * Grants both halves at 5, then fails the orders for the lower half while the
+ * upper half is renewed, until the lease of the lower half has to expire.
+ */
+function failOrdersOfLowerHalf() {
+  const context = createHolder();
+  const { ordersAt, complete } = context;
+  const first = ordersAt(0);
+  complete(first.get(0), ACCEPTED, 5);
+  complete(first.get(HALF), ACCEPTED, 5);
   for (const now of [600, 1_300]) {
-    const orders = orderAt(now);
-    end(orders.get(HALF), ACCEPTED, now + 5);
-    end(orders.get(0), FAILED, now + 500);
+    const orders = ordersAt(now);
+    complete(orders.get(HALF), ACCEPTED, now + 5);
+    complete(orders.get(0), FAILED, now + 500);
   }
-  // Looks once at the loss of the lower half; its last hold goes on to 4,344.
-  const orders = orderAt(1_950);
-  end(orders.get(HALF), ACCEPTED, 1_955);
-  return world;
+  // This step detects the loss of the lower half, whose last lease ends at
+  // 4,344.
+  const orders = ordersAt(1_950);
+  complete(orders.get(HALF), ACCEPTED, 1_955);
+  return context;
 }
 
-test("server end: keys wait for their lease once their server leaves orders unanswered", (t) => {
-  const { orderAt, owners } = loseOrdersOfLowerHalf();
-  orderAt(2_000);
+test("server end: after unanswered orders the lease of the keys has to expire", (t) => {
+  const { ordersAt, owners } = failOrdersOfLowerHalf();
+  ordersAt(2_000);
   t.deepEqual(owners(), ["0 a expiring", `${HALF} a held`]);
 });
 
-test("server end: an entry that copies a server's frees none of its keys", (t) => {
-  const { fleet, orderAt, owners } = loseOrdersOfLowerHalf();
-  // As another writer leaves it: all as in the server's own, but for the service.
+test("server end: a copy of a server's entry frees none of its keys", (t) => {
+  const { fleet, ordersAt, owners } = failOrdersOfLowerHalf();
+  // Such as another writer may leave it: equal to the server's own but for the
+  // service.
   const { address } = fleet.get("a")!.entry;
   fleet.apply([entry("copy", { address, service: "not named" })], [], 2_000);
-  orderAt(2_000);
+  ordersAt(2_000);
   t.deepEqual(owners(), ["0 a expiring", `${HALF} a held`]);
 });
 
-test("server end: an older entry at its address says nothing once its own is gone", (t) => {
-  const { fleet, orderAt, owners } = loseOrdersOfLowerHalf();
+test("server end: an older entry at the address frees no keys after the server's own has expired", (t) => {
+  const { fleet, ordersAt, owners } = failOrdersOfLowerHalf();
   fleet.replace([], 1_900);
   const former = entry("former", { address: "a:1", incarnation: 50 });
   fleet.apply([former, entry("a"), entry("b")], [], 1_960);
-  // Its own entry lapses; by the registry's contract it serves on for a while.
+  // Its own entry expires; by the registry's contract the server may continue
+  // to serve for a while.
   fleet.apply([], ["a"], 1_990);
-  orderAt(2_000);
+  ordersAt(2_000);
   t.is(owners()[0], "0 a expiring");
 });
 
-test("server end: a refusal of an order to an earlier run leaves a later run its keys", (t) => {
-  const { fleet, orderAt, end, owners } = createHolder();
-  const first = orderAt(0);
-  end(first.get(0), ACCEPTED, 5);
-  end(first.get(HALF), ACCEPTED, 5);
-  // Sent to the run of incarnation 100; its answer, of a server that had the
-  // address in between, comes when the next run of `a` is listed and has keys.
-  const late = orderAt(610);
-  end(late.get(HALF), FAILED, 620);
+test("server end: a refused order to an earlier process does not free the keys of a later one", (t) => {
+  const { fleet, ordersAt, complete, owners } = createHolder();
+  const first = ordersAt(0);
+  complete(first.get(0), ACCEPTED, 5);
+  complete(first.get(HALF), ACCEPTED, 5);
+  // These orders were sent to the process of incarnation 100. The refusal comes
+  // from a server that had the address in between, and arrives when the next
+  // process of `a` is listed and holds keys.
+  const late = ordersAt(610);
+  complete(late.get(HALF), FAILED, 620);
   fleet.apply([entry("a", { incarnation: 200 })], [], 700);
-  const renewal = orderAt(780);
-  end(renewal.get(HALF), ACCEPTED, 785);
-  end(late.get(0), MISDIRECTED, 800);
+  const renewal = ordersAt(780);
+  complete(renewal.get(HALF), ACCEPTED, 785);
+  complete(late.get(0), MISDIRECTED, 800);
   t.is(owners()[1], `${HALF} a held`);
 });
 
-test("server end: a refusal at a new address says nothing of the run at the old one", (t) => {
-  const { fleet, orderAt, end, owners } = createHolder();
-  const first = orderAt(0);
-  end(first.get(0), ACCEPTED, 5);
-  end(first.get(HALF), ACCEPTED, 5);
-  // The same run by its incarnation: the address is another writer's word.
+test("server end: a refusal at a new address does not free the keys of the process at the old one", (t) => {
+  const { fleet, ordersAt, complete, owners } = createHolder();
+  const first = ordersAt(0);
+  complete(first.get(0), ACCEPTED, 5);
+  complete(first.get(HALF), ACCEPTED, 5);
+  // The incarnation is unchanged, so it is the same process; another writer has
+  // set the address.
   fleet.apply([entry("a", { address: "b:1" })], [], 300);
-  const orders = orderAt(610);
-  end(orders.get(0), MISDIRECTED, 615);
+  const orders = ordersAt(610);
+  complete(orders.get(0), MISDIRECTED, 615);
   t.false(owners().some((each) => each.includes("null")), owners().join());
 });
--- a/src/core/keyspace/term_campaign.ts
+++ b/src/core/keyspace/term_campaign.ts
@@ -1,78 +1,106 @@
 /**
- * Decides when this VM is the term holder.
+ * Decides whether this VM is the term holder.
  *
- * The store elects one member of a group, the electorate; a VM that does not
- * stand for election is an observer instead. The elected VM reads what is recorded
- * and claims the next term by a write that the store accepts only if nothing
- * was written since; from then on it refuses the writes of older terms. The
- * holder's authority to send orders is bounded by its last confirmed membership
- * call, on its own monotonic clock.
+ * The store elects one member of a group of VMs, the electorate. A VM that is
+ * not a candidate joins the group of observers instead. The elected VM reads
+ * the records and claims the next term by a conditional write, which the store
+ * accepts only if nothing has been written since the read. From then on the
+ * store rejects writes of older terms.
+ *
+ * The authority of the term holder to send orders ends a fixed time after it
+ * sent its last confirmed membership call, measured by its own monotonic clock.
  *
  * @module
  */
 import type { Fleet } from "../fleet/index.ts";
 import type { Assignment } from "./assignment.ts";
 import { Candidacy } from "./candidacy.ts";
-import type { Exposure } from "./exposure.ts";
+import type { OutstandingLease } from "./exposure.ts";
 import type { KeyLoads } from "./key_load.ts";
 import type { Group, KeyspaceEffect, OrderOutcome } from "./keyspace_effect.ts";
 import type { LeaseTiming } from "./lease_timing.ts";
 import { TermHolder } from "./term_holder.ts";
 
-/** Pause between membership calls, in milliseconds: a third of the time after
- * which the store takes a silent member out. */
+/**
+ * Interval between membership calls, in milliseconds: a third of the time after
+ * which the store removes a member that does not call.
+ */
 export const JOIN_INTERVAL = 350;
-/** The same pause of an observer, whose calls only tell whether the store
- * answers: shorter than the silence after which it counts as lost. */
-const OBSERVER_INTERVAL = 1_000;
-/** The same while the term holder tells all that is new: such a VM calls only so
- * that it notices when the store is lost. One call a second of 177 observers is a
- * fifth of what the calls of 195 VMs cost on a quiet day (worked out). */
-const TOLD_INTERVAL = 5_000;
-/** Longest time after its start for which a VM waits to read who held the term
- * last, in milliseconds. Until then it does not know whether a fitter VM lives;
- * standing for election and leaving again moves the place around, which cost the
- * first holder its term when 72 VMs started at once. A store that does not tell
- * in that time is hardly one that elects. */
-const LONGEST_LOOK = 1_000;
-/** Time for which the election must stand before a term is claimed, in
- * milliseconds: many members that join at once move it around. */
+/**
+ * Interval between the membership calls of an observer, in milliseconds. These
+ * calls only detect whether the store answers, so the interval is shorter than
+ * the silence after which the store counts as lost.
+ */
+const OBSERVER_JOIN_INTERVAL = 1_000;
+/**
+ * Interval between the membership calls of an observer that receives all
+ * updates of the store from the term holder, in milliseconds. Such a VM needs
+ * the calls only to detect the loss of the store. In a cluster of 195 VMs, one
+ * call a second from each of 177 observers would be a fifth of the cost of all
+ * calls without load.
+ */
+const UPDATED_OBSERVER_JOIN_INTERVAL = 5_000;
+/**
+ * Maximum time after its start for which a VM waits to read who held the term
+ * last, in milliseconds. Until then it does not know whether a fitter VM
+ * exists. A VM that joins the electorate and leaves it again changes who is
+ * elected: when 72 VMs started at once, this cost the first term holder its
+ * term. A store that does not answer within this time is unlikely to be able to
+ * elect anyone.
+ */
+const HOLDER_READ_TIMEOUT = 1_000;
+/**
+ * Time for which the election result must stay the same before the elected VM
+ * claims a term, in milliseconds. When many members join at once, the result
+ * changes repeatedly.
+ */
 const SETTLE_TIME = 60;
-/** The same pause while this VM is elected and waits for that, and while members
- * come and go: after all VMs were killed no key is held until a term is claimed. */
-const SETTLING_INTERVAL = 100;
-/** Age of the last confirmed membership call up to which the store cannot have
- * taken this VM for silent, in milliseconds. */
-const CERTAIN_TIME = 2 * JOIN_INTERVAL;
-/** Time after the sending of a membership call by which no other VM can have
- * claimed a term because of it, in milliseconds: half the time for which an
- * election must stand. */
-const CERTAIN_CALL_TIME = SETTLE_TIME / 2;
-/** Pause after a claim that failed, in milliseconds. */
-const CLAIM_PAUSE = 200;
-
-/** The answer to a membership call. */
+/**
+ * Interval between membership calls, in milliseconds, while this VM is elected
+ * and waits for the result to settle, and while the group changes. It is short
+ * because after a restart of all VMs no server holds keys until a term is
+ * claimed.
+ */
+const SETTLING_JOIN_INTERVAL = 100;
+/**
+ * Time after sending the last confirmed membership call during which the store
+ * cannot have removed this VM for its silence, in milliseconds.
+ */
+const CONFIRMED_JOIN_SAFE_TIME = 2 * JOIN_INTERVAL;
+/**
+ * Time after sending an unanswered membership call during which no other VM can
+ * have claimed a term because of that call, in milliseconds: half the time for
+ * which an election must stay settled.
+ */
+const PENDING_JOIN_SAFE_TIME = SETTLE_TIME / 2;
+/** Delay after a failed claim before the next one, in milliseconds. */
+const CLAIM_RETRY_DELAY = 200;
+
+/** Answer to a membership call. */
 export interface Membership {
-  /** Grows with each change of the group. */
+  /** Number that grows with each change of the group. */
   generation: number;
   group: Group;
-  /** Whether this VM is the elected one. */
+  /** Whether this VM is the elected member. */
   isElected: boolean;
   /** When the call was sent. */
   sentAt: number;
 }
 
-/** What is recorded of all services. */
+/** Records of all services in the store. */
 export interface Records {
   /** Newest term that was claimed. */
   term: number;
-  /** Where the record ends. */
+  /** Position of the end of the record, for the conditional write. */
   end: number;
   assignments: Assignment[];
 }
 
-/** How a write to the record ended: it is done, a newer term or another writer
- * was found, or it has to be sent again, which changes nothing if it was done. */
+/**
+ * Result of a write to the record: it is done, it was rejected because of a
+ * newer term or another writer, or it has to be repeated. A repeated write has
+ * no effect if the first one was done.
+ */
 export type WriteOutcome = "done" | "superseded" | "again";
 
 type Phase =
@@ -83,11 +111,11 @@
   | { kind: "pausing"; until: number }
   | { kind: "leading"; holder: TermHolder };
 
-/** See the module's comment. */
+/** Runs the election of this VM; see the module's comment. */
 export class TermCampaign {
   #phase: Phase = { kind: "follower" };
-  /** The newest holder that this VM was, also when it is none any more. */
-  #last: TermHolder | null = null;
+  /** The last term holder that this VM was, kept after its term has ended. */
+  #latestHolder: TermHolder | null = null;
   #group: Group = "observers";
   #generation = 0;
   #startedAt: number | null = null;
@@ -95,7 +123,10 @@
   #authorityEnd = -Infinity;
   /** When the last confirmed membership call was sent. */
   #confirmedAt = -Infinity;
-  /** When the first one was sent that has got no answer since, or null. */
+  /**
+   * When the oldest membership call was sent that has had no answer since, or
+   * null.
+   */
   #unansweredSince: number | null = null;
   #joinDueAt = -Infinity;
   #isJoining = false;
@@ -109,7 +140,7 @@
     private readonly candidacy: Candidacy,
   ) {}
 
-  /** A campaign of a VM of this fitness that is not elected yet. */
+  /** Creates the campaign of a VM that has not been elected yet. */
   static create(
     timing: LeaseTiming,
     fleet: Fleet,
@@ -124,42 +155,47 @@
     return this.candidacy.fitness;
   }
 
-  /** Fitness of the fittest VM that is heard of, this one included. */
+  /** Returns the fitness of the fittest known VM, including this one. */
   fittest(now: number): number {
     return this.candidacy.fittest(now);
   }
 
-  /** Another VM of this fitness is heard of. */
+  /** Records the fitness of another VM that is known to be alive. */
   hearFitness(fitness: number, now: number): void {
-    this.candidacy.hear(fitness, now);
+    this.candidacy.observe(fitness, now);
   }
 
-  /** The store has told who held the term last, if anybody did. */
+  /**
+   * Records that the store has answered who held the term last, even if no VM
+   * did.
+   */
   holderRead(): void {
     this.#isHolderRead = true;
   }
 
-  /** The holder while this VM leads, or null. */
+  /** The term holder if this VM is it, or null. */
   get holder(): TermHolder | null {
     return this.#phase.kind === "leading" ? this.#phase.holder : null;
   }
 
-  /** Whether this VM stands for election no more, since it is about to stop. */
+  /**
+   * Whether this VM has left the election for good because it is about to stop.
+   */
   get isRetired(): boolean {
     return this.#isRetired;
   }
 
-  /** Whether this VM stands by for fitter ones. */
+  /** Whether this VM is in the group of observers. */
   get isObserver(): boolean {
     return this.#group === "observers";
   }
 
-  /** What this VM is doing about the term, for operators. */
+  /** Current phase of the campaign, for operators. */
   get phase(): Phase["kind"] {
     return this.#phase.kind;
   }
 
-  /** A membership call was answered. */
+  /** Handles the answer to a membership call. */
   joined(membership: Membership, now: number): void {
     this.#isJoining = false;
     if (membership.group !== this.#group) return;
@@ -176,15 +212,17 @@
     this.#settle(membership.generation, now);
   }
 
-  /** A membership call failed; it is repeated. */
+  /** Handles a failed membership call and schedules the next one. */
   joinFailed(now: number): void {
     this.#isJoining = false;
-    const isStanding = this.#group === "electorate";
+    const isCandidate = this.#group === "electorate";
     this.#joinDueAt = now +
-      (isStanding ? JOIN_INTERVAL : OBSERVER_INTERVAL) / 2;
+      (isCandidate ? JOIN_INTERVAL : OBSERVER_JOIN_INTERVAL) / 2;
   }
 
-  /** The record was read, or could not be (null). */
+  /**
+   * Handles the result of reading the records; null if they could not be read.
+   */
   read(records: Records | null, now: number): KeyspaceEffect[] {
     if (this.#phase.kind !== "reading") return [];
     if (records === null) return this.#pause(now);
@@ -193,7 +231,7 @@
     return [{ kind: "term.claim", term, end: records.end }];
   }
 
-  /** A claim was answered. */
+  /** Handles the outcome of a claim. */
   claimed(term: number, outcome: WriteOutcome, now: number): KeyspaceEffect[] {
     if (this.#phase.kind !== "claiming") return [];
     if (outcome !== "done") return this.#pause(now);
@@ -207,56 +245,61 @@
       () => this.#orderCount += 1,
       now,
     );
-    const former = this.#last;
+    const former = this.#latestHolder;
     if (former?.term === records.term) {
       holder.relieve(former.exposures(now), now);
     }
-    this.#last = holder;
+    this.#latestHolder = holder;
     this.#phase = { kind: "leading", holder };
     const formerTerm = records.term;
-    // VMs that start and read it stand by for a fitter one that this VM stands in
-    // for.
+    // VMs that read this on their start do not become candidates if they are
+    // less fit than the fittest known VM, which may be another one than this
+    // term holder.
     const fitness = this.fittest(now);
     return [{ kind: "holder.announce", term, formerTerm, fitness }];
   }
 
-  /** A write of the holder was answered. */
+  /** Handles the outcome of a write of the term holder. */
   written(term: number, outcome: WriteOutcome, now: number): KeyspaceEffect[] {
     if (this.holder?.term !== term) return [];
     if (outcome === "superseded") return this.#pause(now);
     if (outcome === "done") this.holder.record.written();
-    else this.holder.record.writeAgain(now);
+    else this.holder.record.scheduleRetry(now);
     return [];
   }
 
-  /** An order was answered. */
+  /** Handles the outcome of an order. */
   ordered(id: number, outcome: OrderOutcome, now: number): KeyspaceEffect[] {
     const holder = this.holder;
     if (holder === null || holder.ordered(id, outcome, now)) return [];
     return this.#pause(now);
   }
 
-  /** Takes all steps that are due; `isTold` when the holder's word does for this
-   * VM's own calls, `isTimerEvent` in the step of a timer event. */
+  /**
+   * Takes all steps that are due. `hasHolderUpdates` tells whether this VM
+   * receives the updates of the store from the term holder, so that it need not
+   * call often itself, and `isTimerEvent` whether this step handles a timer
+   * event.
+   */
   advance(
     services: readonly string[],
     now: number,
     storeSilence: number,
-    isTold: boolean,
+    hasHolderUpdates: boolean,
     isTimerEvent = true,
   ): KeyspaceEffect[] {
     const effects: KeyspaceEffect[] = [];
     this.#startedAt ??= now;
-    const hasLooked = this.#isHolderRead ||
-      now >= this.#startedAt + LONGEST_LOOK;
-    if (!this.#isRetired && hasLooked) {
+    const mayChooseGroup = this.#isHolderRead ||
+      now >= this.#startedAt + HOLDER_READ_TIMEOUT;
+    if (!this.#isRetired && mayChooseGroup) {
       effects.push(...this.#chooseGroup(now));
     }
-    const rest = isTold && this.isObserver
-      ? TOLD_INTERVAL - OBSERVER_INTERVAL
+    const extraInterval = hasHolderUpdates && this.isObserver
+      ? UPDATED_OBSERVER_JOIN_INTERVAL - OBSERVER_JOIN_INTERVAL
       : 0;
-    const isJoinDue = now >= this.#joinDueAt + rest ||
-      this.holder?.isStoreWanted;
+    const isJoinDue = now >= this.#joinDueAt + extraInterval ||
+      this.holder?.isAwaitingStore;
     if (!this.#isJoining && !this.#isRetired && isJoinDue) {
       this.#isJoining = true;
       this.#unansweredSince ??= now;
@@ -286,16 +329,16 @@
   }
 
   /**
-   * Another VM has claimed `term`: this one gives no orders of older terms from
-   * here on. Returns until when servers may hold keys by its grants, or null
-   * when it was not the holder of `formerTerm`.
+   * Ends the authority of this VM, since another VM has claimed `term`. Returns
+   * the leases that servers may still hold by this VM's grants, or null if it
+   * was not the holder of `formerTerm` or `term` is not newer.
    */
   yieldTo(
     term: number,
     formerTerm: number,
     now: number,
-  ): readonly Exposure[] | null {
-    const last = this.#last;
+  ): readonly OutstandingLease[] | null {
+    const last = this.#latestHolder;
     if (last === null || last.term !== formerTerm || term <= last.term) {
       return null;
     }
@@ -303,18 +346,21 @@
     return last.exposures(now);
   }
 
-  /** The clock may be ahead of the time that has gone by: servers may hold keys for
-   * longer than it says. The term goes, with all that was reckoned of its grants; a
-   * successor, this VM or another, assumes the worst of them. */
+  /**
+   * Drops the term after the clock may have jumped ahead. Servers may then hold
+   * keys for longer than this VM's clock shows, so all lease ends that it
+   * computed are invalid. The successor, which may be this VM, assumes the
+   * longest possible leases.
+   */
   doubtTime(): void {
     this.#phase = { kind: "follower" };
-    this.#last = null;
+    this.#latestHolder = null;
     this.#authorityEnd = -Infinity;
     this.#confirmedAt = -Infinity;
     this.#joinDueAt = -Infinity;
   }
 
-  /** Gives the term up for good, since the process is about to stop. */
+  /** Leaves the election for good, since the process is about to stop. */
   retire(): KeyspaceEffect[] {
     this.#isRetired = true;
     this.#phase = { kind: "follower" };
@@ -322,21 +368,24 @@
   }
 
   /**
-   * Whether no other VM can have claimed a term by now. The store passes the
-   * place on when its member calls, leaves or falls silent; a call without an
-   * answer may have done it.
+   * Whether it is certain that no other VM has claimed a term. The store elects
+   * another member when the elected one calls, leaves or is silent for too
+   * long, so an unanswered call may have caused a new election.
    */
   #isUncontested(now: number): boolean {
-    const callEnd = (this.#unansweredSince ?? now) + CERTAIN_CALL_TIME;
-    return now < this.#confirmedAt + CERTAIN_TIME && now < callEnd;
+    const callEnd = (this.#unansweredSince ?? now) + PENDING_JOIN_SAFE_TIME;
+    return now < this.#confirmedAt + CONFIRMED_JOIN_SAFE_TIME && now < callEnd;
   }
 
-  /** Joins the group that this VM belongs to now. It leaves the electorate with a
-   * call: the store could still elect a member that has only fallen silent. */
+  /**
+   * Joins the group that this VM belongs to now. To leave the electorate it
+   * makes an explicit call, because the store could still elect a member that
+   * has only stopped calling.
+   */
   #chooseGroup(now: number): KeyspaceEffect[] {
     const isElected = this.#phase.kind !== "follower";
-    const isStanding = this.candidacy.isStanding(now, isElected);
-    const group = isStanding ? "electorate" : "observers";
+    const isCandidate = this.candidacy.isCandidate(now, isElected);
+    const group = isCandidate ? "electorate" : "observers";
     if (group === this.#group) return [];
     const former = this.#group;
     const hasJoined = this.#generation > 0;
@@ -348,13 +397,16 @@
     return mustLeave ? [{ kind: "group.leave", group: former }] : [];
   }
 
-  /** The store passes the place on only after the member that had it has called
-   * again, so calls come fast while the group changes. */
+  /**
+   * Returns the interval until the next membership call. The store elects
+   * another member only after the elected one has called again, so calls are
+   * frequent while the group changes.
+   */
   #joinInterval({ isElected, group, generation }: Membership): number {
-    if (group === "observers") return OBSERVER_INTERVAL;
+    if (group === "observers") return OBSERVER_JOIN_INTERVAL;
     const isChanging = generation !== this.#generation;
     const isSettling = isElected && this.holder === null;
-    return isSettling || isChanging ? SETTLING_INTERVAL : JOIN_INTERVAL;
+    return isSettling || isChanging ? SETTLING_JOIN_INTERVAL : JOIN_INTERVAL;
   }
 
   #settle(generation: number, now: number): void {
@@ -373,7 +425,7 @@
   }
 
   #pause(now: number): KeyspaceEffect[] {
-    this.#phase = { kind: "pausing", until: now + CLAIM_PAUSE };
+    this.#phase = { kind: "pausing", until: now + CLAIM_RETRY_DELAY };
     return [];
   }
 }
--- a/src/core/keyspace/term_campaign_test.ts
+++ b/src/core/keyspace/term_campaign_test.ts
@@ -11,7 +11,10 @@
     KeyLoads.create(),
     fitness,
   );
-  /** Steps at `now`, as text; membership calls go to one group each. */
+  /**
+   * Returns the effects of a step at `now` as text, with the group of
+   * membership calls.
+   */
   const advance = (now: number) =>
     campaign.advance([], now, 0, false).map((each) =>
       "group" in each ? `${each.kind} ${each.group}` : each.kind
@@ -19,12 +22,12 @@
   return { campaign, advance };
 }
 
-// Seen: after all of 72 VMs were killed at once the first holder of the term had to
-// give it up 2.2 s after its claim. The number of the group had grown by 99 by then:
-// small VMs, slow at their start, stood for election before they had read who held
-// the term last, heard of a fitter VM and left again, and each coming and going may
-// pass the place on.
-test("campaign: a VM stands for election only once it has read who held the term", (t) => {
+// Guards against VMs that join the electorate before they know who held the
+// term last. After 72 VMs were killed at once, small VMs did so on their slow
+// restart, learned of a fitter VM and left again. Each join and leave can
+// change who is elected: the group changed 99 times, and the first term holder
+// lost its term 2.2 s after its claim.
+test("campaign: a VM becomes a candidate only after it has read who held the term", (t) => {
   const { campaign, advance } = createCampaign(0.5);
   t.deepEqual(advance(0), ["group.join observers"]);
   const membership = { generation: 1, isElected: false, sentAt: 0 };
@@ -33,15 +36,15 @@
   campaign.hearFitness(4, 410);
   campaign.holderRead();
   t.deepEqual(advance(420), []);
-  // A store that does not tell keeps nobody from standing for long.
-  const other = createCampaign(0.5);
-  other.advance(0);
-  other.campaign.joined({ ...membership, group: "observers" }, 4);
-  t.deepEqual(other.advance(999), []);
-  t.deepEqual(other.advance(1_000), ["group.join electorate"]);
+  // A store that does not answer delays the candidacy only for a limited time.
+  const unread = createCampaign(0.5);
+  unread.advance(0);
+  unread.campaign.joined({ ...membership, group: "observers" }, 4);
+  t.deepEqual(unread.advance(999), []);
+  t.deepEqual(unread.advance(1_000), ["group.join electorate"]);
 });
 
-test("campaign: a VM that hears of a fitter one leaves the electorate with a call", (t) => {
+test("campaign: a VM that learns of a fitter one leaves the electorate with an explicit call", (t) => {
   const { campaign, advance } = createCampaign(0.5);
   const membership = { generation: 1, isElected: false, sentAt: 0 };
   t.deepEqual(advance(0), ["group.join observers"]);
@@ -51,14 +54,15 @@
   campaign.joined({ ...membership, group: "electorate" }, 64);
   campaign.hearFitness(4, 100);
   t.deepEqual(advance(110), ["group.leave electorate", "group.join observers"]);
-  // It comes forward when nobody fitter was heard of for a while.
+  // It becomes a candidate again after some time without a message about a
+  // fitter VM.
   campaign.joined({ ...membership, group: "observers", sentAt: 110 }, 114);
   t.deepEqual(advance(3_000), ["group.join observers"]);
   campaign.joined({ ...membership, group: "observers", sentAt: 3_000 }, 3_004);
   t.deepEqual(advance(3_200), ["group.join electorate"]);
 });
 
-test("campaign: membership calls come fast while the group changes", (t) => {
+test("campaign: membership calls are frequent while the group changes", (t) => {
   const { campaign, advance } = createCampaign(1);
   advance(0);
   campaign.holderRead();
--- a/src/core/keyspace/term_holder.ts
+++ b/src/core/keyspace/term_holder.ts
@@ -1,54 +1,66 @@
 /**
- * The term holder: gives keys to backend servers and takes them back.
+ * The term holder: assigns keys to backend servers and takes them back.
  *
- * A range changes its server only when the change is recorded and the old
- * server either has confirmed its release or cannot hold the keys any more.
- * Orders go out only while the holder's authority lasts.
+ * A range of keys changes its server only after the change is recorded in the
+ * store, and after the old server has either confirmed the release or its lease
+ * has expired. Orders are sent only while the authority of the term holder
+ * lasts.
  *
  * @module
  */
 import type { Fleet } from "../fleet/index.ts";
 import { type Assignment, coversAllKeys } from "./assignment.ts";
-import type { Exposure } from "./exposure.ts";
+import type { OutstandingLease } from "./exposure.ts";
 import type { HeldRange } from "./held_range.ts";
-import { KeyBalance } from "./key_balance.ts";
+import { KeyRebalancer } from "./key_balance.ts";
 import type { KeyLoads } from "./key_load.ts";
 import { type LeaseTiming, predecessorEnd } from "./lease_timing.ts";
-import { OrderBook } from "./order_book.ts";
-import { OrderOutcomes } from "./order_outcomes.ts";
+import { OrderTracker } from "./order_book.ts";
+import { OrderOutcomeHandler } from "./order_outcomes.ts";
 import type { Move } from "./placement.ts";
 import { RecordWriter } from "./record_writer.ts";
 import { RangeServers } from "./range_servers.ts";
 import { RangeTable } from "./range_table.ts";
-import { NEWS_TIME, RangeTransitions } from "./range_transitions.ts";
+import { PROPAGATION_DELAY, RangeTransitions } from "./range_transitions.ts";
 import type { KeyspaceEffect, OrderOutcome } from "./keyspace_effect.ts";
 
-/** Share of a fair server's work that a piece of a lost server's keys makes at
- * most, so that they are spread. */
-const PIECE_SHARE = 0.5;
-/** Time that keys wait for a sign of the store before they go back to the server
- * that had them, in milliseconds: the store answers in 4 ms as a rule. */
-const STORE_PATIENCE = 120;
-/** Time after keys went back for which no move for balance begins, in
- * milliseconds: a store that is slow stays so for seconds, and each try makes
- * keys wait. */
-const MOVE_PAUSE = 2_000;
-/** Silence of the store above which no move for balance begins, in
- * milliseconds: keys that were taken back could not be given out again. */
-const MOVE_SILENCE = 700;
+/**
+ * Largest piece into which the keys of a lost server are divided, as a share of
+ * the work of an average server. It spreads these keys over several servers.
+ */
+const MAX_PIECE_SHARE = 0.5;
+/**
+ * Time for which released keys wait for an answer of the store before they are
+ * granted again to their former server, in milliseconds. The store usually
+ * answers within 4 ms.
+ */
+const STORE_WAIT_TIMEOUT = 120;
+/**
+ * Time after such a return of keys during which no move for load balance
+ * starts, in milliseconds. A slow store stays slow for seconds, and each
+ * attempt to move keys delays their requests.
+ */
+const REBALANCE_BACKOFF = 2_000;
+/**
+ * Silence of the store, in milliseconds, above which no move for load balance
+ * starts: released keys could not be assigned again.
+ */
+const MAX_STORE_SILENCE_FOR_MOVES = 700;
 
-/** See the module's comment. */
+/**
+ * Assigns the keys of all services during one term; see the module's comment.
+ */
 export class TermHolder {
-  /** The record of this term. */
+  /** Writes the assignments of this term to the store. */
   readonly record: RecordWriter;
   readonly #tables = new Map<string, RangeTable>();
-  readonly #orders: OrderBook;
-  readonly #balance: KeyBalance;
+  readonly #orders: OrderTracker;
+  readonly #rebalancer: KeyRebalancer;
   readonly #servers: RangeServers;
   readonly #transitions: RangeTransitions;
-  readonly #outcomes: OrderOutcomes;
-  /** Before this no move for balance begins. */
-  #movesFrom = -Infinity;
+  readonly #outcomeHandler: OrderOutcomeHandler;
+  /** Earliest time at which the next move for load balance may start. */
+  #nextMoveAt = -Infinity;
   #effects: KeyspaceEffect[] = [];
 
   private constructor(
@@ -58,12 +70,12 @@
     loads: KeyLoads,
     nextOrder: () => number,
   ) {
-    this.#orders = OrderBook.create(term, timing, nextOrder);
+    this.#orders = OrderTracker.create(term, timing, nextOrder);
     this.record = RecordWriter.create(term);
-    this.#balance = KeyBalance.create(fleet, loads);
+    this.#rebalancer = KeyRebalancer.create(fleet, loads);
     this.#servers = RangeServers.create(fleet);
     this.#transitions = RangeTransitions.create(this.#servers);
-    this.#outcomes = OrderOutcomes.create(
+    this.#outcomeHandler = OrderOutcomeHandler.create(
       this.#orders,
       this.#servers,
       this.#transitions,
@@ -72,8 +84,8 @@
   }
 
   /**
-   * Continues from what is recorded. All orders of older terms were fenced off
-   * in the store by `now`.
+   * Continues from the recorded assignments. By `now` the store must reject all
+   * writes of older terms.
    */
   static create(
     term: number,
@@ -87,32 +99,35 @@
     const holder = new TermHolder(term, timing, fleet, loads, nextOrder);
     const end = predecessorEnd(now, timing);
     for (const assignment of recorded) {
-      const table = RangeTable.resume(assignment, end);
+      const table = RangeTable.restore(assignment, end);
       holder.#tables.set(assignment.service, table);
     }
     return holder;
   }
 
-  /** Number of changes so far; others are told when it grows. */
+  /** Number of changes so far. It is sent to the other VMs when it grows. */
   get version(): number {
     let changes = 0;
     for (const table of this.#tables.values()) changes += table.revision;
     return changes;
   }
 
-  /** Whether orders are due that the last step had no room for. */
+  /**
+   * Whether orders are due that the last step had to defer because of its
+   * limit.
+   */
   get isBehind(): boolean {
     return this.#orders.isLimitReached;
   }
 
-  /** Whether keys wait for a sign that the store answers. */
-  get isStoreWanted(): boolean {
+  /** Whether released keys wait for an answer of the store. */
+  get isAwaitingStore(): boolean {
     return this.#allTables.some(({ ranges }) =>
       ranges.some(({ state }) => state === "released")
     );
   }
 
-  /** All assignments as they stand. */
+  /** The current assignments of all services. */
   get assignments(): Assignment[] {
     return this.#allTables.map((table) =>
       table.snapshot(this.term, this.version)
@@ -120,10 +135,11 @@
   }
 
   /**
-   * Until when servers may hold keys by this holder's grants and by those that
-   * it took over. Only for a holder that gives no more orders.
+   * Returns the leases that servers may hold by grants of this term holder and
+   * by those that it inherited. Valid only for a term holder that sends no more
+   * orders.
    */
-  exposures(now: number): Exposure[] {
+  exposures(now: number): OutstandingLease[] {
     return this.#allTables.flatMap(({ service, ranges }) =>
       ranges.map((range) => {
         const { first, last } = range;
@@ -134,12 +150,12 @@
   }
 
   /**
-   * Takes the word of the holder before, which gives no more orders, for how
-   * long servers may hold keys by its grants.
+   * Shortens the inherited leases to those that the previous term holder, which
+   * sends no more orders, has reported as outstanding.
    */
-  relieve(exposures: readonly Exposure[], now: number): void {
+  relieve(leases: readonly OutstandingLease[], now: number): void {
     for (const table of this.#tables.values()) {
-      const own = exposures.filter((each) => each.service === table.service);
+      const own = leases.filter((each) => each.service === table.service);
       if (!coversAllKeys(own)) continue;
       for (const range of table.ranges) {
         const remaining = own
@@ -153,7 +169,7 @@
     }
   }
 
-  /** How far each table has changed. */
+  /** The revision of each table, by service. */
   get revisions(): ReadonlyMap<string, number> {
     return new Map(
       this.#allTables.map(({ service, revision }) => [service, revision]),
@@ -161,8 +177,9 @@
   }
 
   /**
-   * What has changed since the tables stood at `revisions`: ranges that take the
-   * place of the same keys before; of a table that was not there all ranges.
+   * Returns the ranges that have changed since the tables had these
+   * `revisions`. They replace the earlier ranges of the same keys. For a table
+   * without a revision all ranges are returned.
    */
   changesSince(revisions: ReadonlyMap<string, number>): Assignment[] {
     const { version } = this;
@@ -171,16 +188,18 @@
     );
   }
 
-  /** The ranges of a service, for operators. */
+  /** Returns the ranges of a service, for operators. */
   ranges(service: string): readonly HeldRange[] {
     return this.#tables.get(service)?.ranges ?? [];
   }
 
   /**
-   * Takes all steps that are due. `authorityEnd` is until when orders may be
-   * sent, `storeSilence` for how long the store has not answered, `mayConnect`
-   * whether no other VM can have claimed a term by now, `isTimerEvent` whether the
-   * step handles a timer event.
+   * Takes all steps that are due.
+   *
+   * `authorityEnd` is the time until which orders may be sent, and
+   * `storeSilence` the time for which the store has not answered. `mayConnect`
+   * tells whether it is certain that no other VM has claimed a term, and
+   * `isTimerEvent` whether this step handles a timer event.
    */
   advance(
     services: readonly string[],
@@ -199,15 +218,18 @@
         this.#advanceService(service, now, hold, storeSilence);
       }
     }
-    return this.#take();
+    return this.#takeEffects();
   }
 
-  /** An order ended. Returns false when a newer holder was found out. */
+  /**
+   * Handles the outcome of an order. Returns false if it shows that a newer
+   * term holder exists.
+   */
   ordered(id: number, outcome: OrderOutcome, now: number): boolean {
-    const order = this.#orders.end(id, now);
+    const order = this.#orders.complete(id, now);
     if (order === undefined) return true;
     if (outcome.kind === "superseded") return false;
-    this.#effects.push(...this.#outcomes.take(order, outcome, now));
+    this.#effects.push(...this.#outcomeHandler.handle(order, outcome, now));
     return true;
   }
 
@@ -222,12 +244,13 @@
       table = RangeTable.create(service);
       this.#tables.set(service, table);
     }
-    for (const range of longestDueFirst(table.ranges)) {
+    for (const range of sortByDueTime(table.ranges)) {
       this.#advanceRange(table, range, now, hold, storeSilence);
     }
     this.#assignVacant(table, now);
-    const mayMove = storeSilence <= MOVE_SILENCE && now >= this.#movesFrom;
-    const isMoveDue = mayMove && this.#balance.takeTurn(service, now);
+    const mayMove = storeSilence <= MAX_STORE_SILENCE_FOR_MOVES &&
+      now >= this.#nextMoveAt;
+    const isMoveDue = mayMove && this.#rebalancer.tryStartCheck(service, now);
     if (isMoveDue && isFullyFenced(table)) this.#startMoves(table, now);
     const { version } = this;
     const write = this.record.advance(this.#allTables, version, now);
@@ -251,7 +274,7 @@
         }
         return;
       case "held":
-        if (this.#mustLeave(range, now)) {
+        if (this.#isCloseDue(range, now)) {
           this.#transitions.close(table, range, now);
         } else if (
           now >= range.dueAt || range.hold < hold ||
@@ -261,46 +284,48 @@
         }
         return;
       case "closing":
-        if (now >= range.dueAt) this.#takeBack(table, range, now, hold);
+        if (now >= range.dueAt) this.#requestRelease(table, range, now, hold);
         return;
       case "released":
-        return this.#passOn(table, range, now, hold, storeSilence);
+        return this.#advanceReleased(table, range, now, hold, storeSilence);
       case "expiring":
         if (now >= this.#orders.heldUntil(range)) {
           this.#transitions.vacate(table, range);
         } else if (this.#servers.isRestarted(range)) {
-          this.#giveBack(table, range, now, hold);
-        } else if (now >= range.dueAt && this.#servers.isReplaced(range)) {
+          this.#regrant(table, range, now, hold);
+        } else if (now >= range.dueAt && this.#servers.isAddressReused(range)) {
           this.#probe(table, range, now);
         }
     }
   }
 
   /**
-   * Frees the keys of a released range for another server, or gives them back.
-   * Once a write that names another server is on its way, only the store knows
-   * who is on record, and the keys would wait for the end of an outage; until
-   * then it is still the server that had them.
+   * Frees the keys of a released range for another server, or grants them again
+   * to their former server.
+   *
+   * Until a write that names another server is sent, the former server is still
+   * the recorded one. After that only the store knows which server is recorded,
+   * so the keys would have to wait until an outage of the store ends.
    */
-  #passOn(
+  #advanceReleased(
     table: RangeTable,
     range: HeldRange,
     now: number,
     hold: number,
     storeSilence: number,
   ): void {
-    const isStoreHeard = now - storeSilence >= range.releasedAt;
-    const mayReturn = this.#servers.isStaying(range.server!);
-    if (isStoreHeard || !mayReturn) {
+    const hasStoreAnswered = now - storeSilence >= range.releasedAt;
+    const mayRegrant = this.#servers.isAvailable(range.server!);
+    if (hasStoreAnswered || !mayRegrant) {
       return this.#transitions.vacate(table, range);
     }
-    if (now < range.releasedAt + STORE_PATIENCE) return;
-    this.#movesFrom = now + MOVE_PAUSE;
-    this.#giveBack(table, range, now, hold);
+    if (now < range.releasedAt + STORE_WAIT_TIMEOUT) return;
+    this.#nextMoveAt = now + REBALANCE_BACKOFF;
+    this.#regrant(table, range, now, hold);
   }
 
-  /** Grants keys again to the server that is on record for them. */
-  #giveBack(
+  /** Grants keys again to the server that is recorded for them. */
+  #regrant(
     table: RangeTable,
     range: HeldRange,
     now: number,
@@ -310,32 +335,37 @@
     this.#grant(table, range, now, hold);
   }
 
-  /** Whether the server of a held range has failed or is leaving. */
-  #mustLeave(range: HeldRange, now: number): boolean {
+  /**
+   * Whether the server of a held range is lost or the range has to leave it.
+   */
+  #isCloseDue(range: HeldRange, now: number): boolean {
     return this.#servers.isLost(range, now) ||
-      this.#servers.hasToLeave(range, now);
+      this.#servers.isReleaseDue(range, now);
   }
 
   /**
-   * Asks whether the server of keys that wait for a lease still listens at its
-   * address. Only the answer proves something: the other server that is listed
-   * there may have been there before, and may have ended too. It is a release,
-   * which gives nobody keys.
+   * Checks whether the server of an expiring range still listens at its
+   * address. Only its answer is proof: the other server that is listed at the
+   * address may have been there earlier, and may have ended too. The check is a
+   * release order, because it grants keys to nobody.
    */
   #probe(table: RangeTable, range: HeldRange, now: number): void {
-    if (this.#orders.mustWait(range)) return;
+    if (this.#orders.isDeferred(range)) return;
     this.#effects.push(this.#orders.release(table, range, now));
   }
 
-  /** Asks for the release, or first makes sure that older holders are fenced. */
-  #takeBack(
+  /**
+   * Requests the release of a range, or first fences older term holders by a
+   * grant.
+   */
+  #requestRelease(
     table: RangeTable,
     range: HeldRange,
     now: number,
     hold: number,
   ): void {
     if (!range.isFenced) return this.#grant(table, range, now, hold);
-    if (this.#orders.mustWait(range)) return;
+    if (this.#orders.isDeferred(range)) return;
     this.#effects.push(this.#orders.release(table, range, now));
   }
 
@@ -345,7 +375,7 @@
     now: number,
     hold: number,
   ): void {
-    if (this.#orders.mustWait(range)) return;
+    if (this.#orders.isDeferred(range)) return;
     const server = range.server!;
     range.address = this.#servers.address(server) ?? range.address;
     range.incarnation = this.#servers.incarnation(server);
@@ -356,27 +386,32 @@
     this.#effects.push(this.#orders.grant(table, range, hold, now));
   }
 
-  /** Gives ranges without a server to the servers with most room. */
+  /** Assigns vacant ranges to the servers with the lowest load. */
   #assignVacant(table: RangeTable, now: number): void {
     const vacant = table.ranges.filter((each) => each.state === "vacant");
     if (vacant.length === 0) return;
     const { service } = table;
-    if (table.isNew && !this.#balance.mayBegin(service, now)) return;
-    const candidates = this.#balance
-      .candidates(service, this.#suspects, now)
+    if (
+      table.isNeverAssigned &&
+      !this.#rebalancer.mayAssignInitially(service, now)
+    ) return;
+    const candidates = this.#rebalancer
+      .candidates(service, this.#suspectedServers, now)
       .filter(({ id }) => !this.#servers.hasEnded(id));
     if (candidates.length === 0) return;
-    const placement = this.#balance.placement(service, candidates, now);
+    const placement = this.#rebalancer.placement(service, candidates, now);
     const loads = placement.loads(table.ranges);
-    const most = PIECE_SHARE / candidates.length;
+    const maxPieceWeight = MAX_PIECE_SHARE / candidates.length;
     for (const range of vacant) {
-      const planned = candidates.some(({ id }) => id === range.destination);
-      const pieces = planned ? [range] : placement.pieces(range, most);
+      const isPlanned = candidates.some(({ id }) => id === range.destination);
+      const pieces = isPlanned
+        ? [range]
+        : placement.split(range, maxPieceWeight);
       let rest = range;
       for (const { first, last } of pieces) {
-        const piece = table.cut(rest, { first, last });
+        const piece = table.split(rest, { first, last });
         rest = table.ranges[table.ranges.indexOf(piece) + 1] ?? piece;
-        const server = planned
+        const server = isPlanned
           ? range.destination
           : placement.choose(loads, piece);
         this.#transitions.assign(table, piece, server!, now);
@@ -385,15 +420,17 @@
   }
 
   #startMoves(table: RangeTable, now: number): void {
-    table.joinNeighbours(now);
-    for (const move of this.#balance.moves(table, this.#suspects, now)) {
-      this.#move(table, move, now);
+    table.mergeAdjacent(now);
+    for (
+      const move of this.#rebalancer.moves(table, this.#suspectedServers, now)
+    ) {
+      this.#startMove(table, move, now);
     }
   }
 
-  /** Servers that get no further keys for now. */
-  get #suspects(): Set<string> {
-    return this.#servers.suspects(
+  /** Servers that should get no more keys for now. */
+  get #suspectedServers(): Set<string> {
+    return this.#servers.suspectedServers(
       this.#allTables.flatMap(({ ranges }) => ranges),
     );
   }
@@ -402,14 +439,14 @@
     return [...this.#tables.values()];
   }
 
-  #move(table: RangeTable, { piece, destination }: Move, now: number) {
+  #startMove(table: RangeTable, { piece, destination }: Move, now: number) {
     const range = table.ranges.find(({ last }) => piece.first <= last)!;
-    const moving = table.cut(range, piece);
+    const moving = table.split(range, piece);
     moving.destination = destination;
     moving.state = "closing";
-    moving.dueAt = now + NEWS_TIME;
+    moving.dueAt = now + PROPAGATION_DELAY;
     moving.closedAt = now;
-    table.changed(moving);
+    table.markChanged(moving);
     this.#effects.push({
       kind: "keys.move",
       service: table.service,
@@ -420,21 +457,26 @@
     });
   }
 
-  #take(): KeyspaceEffect[] {
+  #takeEffects(): KeyspaceEffect[] {
     const effects = this.#effects;
     this.#effects = [];
     return effects;
   }
 }
 
-/** Ranges in the order in which they are looked at: a step has room for some of the
- * orders that are due, and none must wait for ever. */
-function longestDueFirst(ranges: readonly HeldRange[]): HeldRange[] {
+/**
+ * Returns the ranges in ascending order of their due time. A step can send only
+ * some of the due orders, and this order keeps any range from waiting forever.
+ */
+function sortByDueTime(ranges: readonly HeldRange[]): HeldRange[] {
   return [...ranges].sort((a, b) => a.dueAt - b.dueAt);
 }
 
-/** Whether every held range has an accepted grant of this term. Before that, few
- * followers have reported to the holder which keys are requested. */
+/**
+ * Whether the server of every held range has accepted a grant of this term.
+ * Before that, few VMs have reported to the term holder which keys are
+ * requested, so its load data are incomplete.
+ */
 function isFullyFenced({ ranges }: RangeTable): boolean {
   return ranges.every(({ state, isFenced }) => state !== "held" || isFenced);
 }
--- a/src/core/keyspace/term_holder_test.ts
+++ b/src/core/keyspace/term_holder_test.ts
@@ -7,8 +7,10 @@
 import { leaseTimingSchema } from "./lease_timing.ts";
 import { TermHolder } from "./term_holder.ts";
 
-/** What an effect orders, of whom. */
-function brief(effect: KeyspaceEffect): string {
+/**
+ * Describes an effect in short: the order or move, its servers and its keys.
+ */
+function summarize(effect: KeyspaceEffect): string {
   switch (effect.kind) {
     case "order.grant":
     case "order.release":
@@ -20,7 +22,10 @@
   }
 }
 
-/** A holder of two servers, of which `a` has all keys and is to give up half. */
+/**
+ * Creates a term holder with two servers, of which `a` has all keys and should
+ * release half of them.
+ */
 function createHolder() {
   const fleet = Fleet.create();
   const entries = ["a", "b"].map((id) =>
@@ -53,54 +58,55 @@
       holder.ordered(effect.order, { kind: "accepted", handover: "h" }, now);
     }
   };
-  /** Until the first release of a move is answered, at 400. */
+  /** Runs a move until its first release is answered, at 400. */
   const startMove = (): string[] => {
     const effects: KeyspaceEffect[] = [];
     for (const now of [0, 20, 350]) {
-      const some = advance(now, 0);
-      accept(some.filter(({ kind }) => kind === "order.grant"), now + 5);
-      effects.push(...some);
+      const stepEffects = advance(now, 0);
+      accept(stepEffects.filter(({ kind }) => kind === "order.grant"), now + 5);
+      effects.push(...stepEffects);
     }
     const release = advance(360, 0);
     effects.push(...release);
     accept(release, 400);
-    return effects.map(brief);
+    return effects.map(summarize);
   };
   return { holder, fleet, advance, accept, startMove };
 }
 
-test("term holder: a move goes on once the store has answered after the release", (t) => {
+test("term holder: a move continues once the store has answered after the release", (t) => {
   const { holder, advance, startMove } = createHolder();
   const before = startMove();
-  t.true(holder.isStoreWanted);
+  t.true(holder.isAwaitingStore);
   t.deepEqual(advance(402, 50), []);
-  t.snapshot({ before, after: advance(410, 5).map(brief) });
-  t.false(holder.isStoreWanted);
+  t.snapshot({ before, after: advance(410, 5).map(summarize) });
+  t.false(holder.isAwaitingStore);
 });
 
-test("term holder: keys that an outage meets on their way go back to their server", (t) => {
+test("term holder: keys that are released during a store outage return to their server", (t) => {
   const { advance, accept, startMove } = createHolder();
   startMove();
   t.deepEqual(advance(500, 200), []);
-  const back = advance(520, 220);
-  t.snapshot(back.map(brief));
-  accept(back, 525);
-  // No second try while the store may still be slow.
+  const regrants = advance(520, 220);
+  t.snapshot(regrants.map(summarize));
+  accept(regrants, 525);
+  // No second attempt while the store may still be slow.
   const kinds = [900, 1_300, 2_500].flatMap((now) =>
     advance(now, 10).map(({ kind }) => kind)
   );
   t.false(kinds.includes("keys.move"));
 });
 
-test("term holder: keys do not go back to a server that is leaving", (t) => {
+test("term holder: released keys do not return to a server that is leaving", (t) => {
   const { fleet, advance, startMove } = createHolder();
   startMove();
   const leaving = { ...fleet.get("a")!.entry, isDraining: true };
   fleet.apply([leaving], [], 450);
-  t.snapshot(advance(520, 220).map(brief));
+  t.snapshot(advance(520, 220).map(summarize));
 });
 
-// Guards against closing keys for balance while a new holder has incomplete load data.
+// Guards against closing keys for load balance while a new term holder has
+// incomplete load data.
 test("term holder: a new holder moves no keys before its servers have accepted grants", (t) => {
   const fleet = Fleet.create();
   fleet.apply(["a", "b"].map((id) => backendServer(id)), [], 0);
@@ -132,28 +138,31 @@
   t.is(acceptTimes.filter((now) => now < moveTimes[0]).length, ranges.length);
 });
 
-/** Until `end`, with every order of server a unanswered for 500 ms each. */
-function leaveUnanswered(
+/**
+ * Runs until `end`; every order to server `a` fails after 500 ms without an
+ * answer.
+ */
+function runWithUnansweredOrders(
   { holder, advance }: ReturnType<typeof createHolder>,
   end: number,
-  look: (now: number) => void,
+  onStep: (now: number) => void,
 ): string[] {
   const states: string[] = [];
-  const open: { order: number; at: number }[] = [];
+  const unanswered: { order: number; at: number }[] = [];
   for (let now = 0; now <= end; now += 50) {
-    look(now);
-    // The store's silence keeps keys from being moved for balance.
+    onStep(now);
+    // The silence of the store prevents moves for load balance.
     for (const effect of advance(now, 800)) {
       if (!("order" in effect)) continue;
       if (effect.server === "a" && now > 0) {
-        open.push({ order: effect.order, at: now + 500 });
+        unanswered.push({ order: effect.order, at: now + 500 });
       } else {
         const outcome = { kind: "accepted", handover: null } as const;
         holder.ordered(effect.order, outcome, now + 5);
       }
     }
-    while (open.length > 0 && open[0].at <= now) {
-      const { order } = open.shift()!;
+    while (unanswered.length > 0 && unanswered[0].at <= now) {
+      const { order } = unanswered.shift()!;
       holder.ordered(order, { kind: "failed", cause: "no answer" }, now);
     }
     states.push(holder.ranges("s")[0].state);
@@ -161,49 +170,49 @@
   return states;
 }
 
-test("term holder: a server that answers nobody loses its keys after two orders", (t) => {
-  const world = createHolder();
-  const states = leaveUnanswered(world, 2_000, () => {});
+test("term holder: an unresponsive server loses its keys after two orders", (t) => {
+  const context = createHolder();
+  const states = runWithUnansweredOrders(context, 2_000, () => {});
   t.true(states.includes("expiring"));
 });
 
-test("term holder: a full server that answers callers keeps its keys while its lease runs", (t) => {
-  const world = createHolder();
-  const server = world.fleet.get("a")!;
+test("term holder: an overloaded server that answers callers keeps its keys during its lease", (t) => {
+  const context = createHolder();
+  const server = context.fleet.get("a")!;
   const samples = { mean: 100, count: 1 };
-  const states = leaveUnanswered(
-    world,
+  const states = runWithUnansweredOrders(
+    context,
     2_000,
     (now) => server.observe(samples, now),
   );
   t.false(states.includes("expiring"));
 });
 
-test("term holder: keys are given out for the first time once no more servers come", (t) => {
+test("term holder: the first assignment of keys waits until no more servers join", (t) => {
   const entry = (id: string) => backendServer(id, { availabilityZone: "z" });
-  const begin = () => {
+  const createEmptyHolder = () => {
     const fleet = Fleet.create();
     const loads = KeyLoads.create();
     const timing = leaseTimingSchema.parse({});
     const next = () => 1;
     const holder = TermHolder.create(1, [], timing, fleet, loads, next, 0);
-    const isBegun = (now: number) =>
+    const hasOrders = (now: number) =>
       holder.advance(["s"], now, Infinity, 0, true).length > 0;
-    return { fleet, loads, isBegun };
+    return { fleet, loads, hasOrders };
   };
-  const quiet = begin();
-  quiet.fleet.apply([entry("a")], [], 0);
-  t.false(quiet.isBegun(500));
-  quiet.fleet.apply([entry("b")], [], 600);
-  t.false(quiet.isBegun(1_400));
-  t.true(quiet.isBegun(1_600));
-  const asked = begin();
-  asked.fleet.apply([entry("a")], [], 0);
-  asked.loads.of("s").record(7, 100);
-  t.true(asked.isBegun(110));
+  const idle = createEmptyHolder();
+  idle.fleet.apply([entry("a")], [], 0);
+  t.false(idle.hasOrders(500));
+  idle.fleet.apply([entry("b")], [], 600);
+  t.false(idle.hasOrders(1_400));
+  t.true(idle.hasOrders(1_600));
+  const requested = createEmptyHolder();
+  requested.fleet.apply([entry("a")], [], 0);
+  requested.loads.of("s").record(7, 100);
+  t.true(requested.hasOrders(110));
 });
 
-test("term holder: each renewal has a token of its own, above those before", (t) => {
+test("term holder: each renewal has a new token above all earlier ones", (t) => {
   const { advance, accept } = createHolder();
   const tokens: number[] = [];
   for (let now = 0; now < 3_000; now += 50) {
@@ -217,18 +226,18 @@
   t.deepEqual(tokens, [...new Set(tokens)].sort((a, b) => a - b));
 });
 
-test("term holder: keys of a server whose address another has taken are free at once", (t) => {
+test("term holder: keys are freed at once if another server answers at the address", (t) => {
   const { holder, advance } = createHolder();
   const [grant] = advance(0, 0);
   if (!("order" in grant)) throw new Error("no order");
   holder.ordered(grant.order, { kind: "misdirected" }, 5);
   t.is(holder.ranges("s")[0].state, "vacant");
-  // Its entry is still listed, and it gets nothing more.
+  // Its entry is still listed, but it gets no more keys.
   t.deepEqual(advance(10, 0).map(({ kind }) => kind), ["assignments.write"]);
   t.true(holder.ranges("s").every(({ server }) => server === "b"));
 });
 
-test("term holder: a server that is listed at a new address may live", (t) => {
+test("term holder: a server that is listed at a new address keeps its keys", (t) => {
   const { holder, fleet, advance } = createHolder();
   const [grant] = advance(0, 0);
   if (!("order" in grant)) throw new Error("no order");
@@ -237,23 +246,23 @@
   t.is(holder.ranges("s")[0].server, "a");
 });
 
-test("term holder: a server that has started again is granted its keys at once", (t) => {
+test("term holder: a restarted server is granted its keys at once", (t) => {
   const { fleet, advance, accept } = createHolder();
   accept(advance(0, 800), 5);
   const restart = (incarnation: number, now: number) =>
     fleet.apply([{ ...fleet.get("a")!.entry, incarnation }], [], now);
-  // The first incarnation that is told says nothing of a restart.
+  // The first known incarnation is no sign of a restart.
   restart(7, 10);
   t.deepEqual(advance(20, 800), []);
   accept(advance(610, 800), 615);
   restart(9, 620);
   const renewal = advance(630, 800);
-  t.deepEqual(renewal.map(brief), [`order.grant a 0..${KEY_COUNT - 1}`]);
+  t.deepEqual(renewal.map(summarize), [`order.grant a 0..${KEY_COUNT - 1}`]);
   accept(renewal, 635);
   t.deepEqual(advance(640, 800), []);
 });
 
-test("term holder: keys that wait for a lease go back to a server that has started again", (t) => {
+test("term holder: keys of an expiring lease return to their server after its restart", (t) => {
   const { holder, fleet, advance } = createHolder();
   const entry = { ...fleet.get("a")!.entry, incarnation: 7 };
   fleet.apply([entry], [], 0);
@@ -267,14 +276,14 @@
   t.is(holder.ranges("s")[0].state, "expiring");
   t.deepEqual(advance(1_250, 800), []);
   fleet.apply([{ ...entry, incarnation: 9 }], [], 1_300);
-  const back = advance(1_310, 800);
-  t.deepEqual(back.map(brief), [`order.grant a 0..${KEY_COUNT - 1}`]);
+  const regrants = advance(1_310, 800);
+  t.deepEqual(regrants.map(summarize), [`order.grant a 0..${KEY_COUNT - 1}`]);
 });
 
-test("term holder: another server's entry at the address is asked about, not believed", (t) => {
-  const begin = () => {
-    const world = createHolder();
-    const { holder, fleet, advance } = world;
+test("term holder: another server's entry at the address is verified before keys are freed", (t) => {
+  const expireWithReusedAddress = () => {
+    const context = createHolder();
+    const { holder, fleet, advance } = context;
     for (const now of [0, 700]) {
       const [grant] = advance(now, 800);
       if (!("order" in grant)) throw new Error("no order");
@@ -284,26 +293,26 @@
     advance(1_210, 800);
     fleet.apply([{ ...fleet.get("a")!.entry, id: "other" }], [], 1_400);
     const [probe] = advance(1_410, 800);
-    t.is(brief(probe), `order.release a 0..${KEY_COUNT - 1}`);
+    t.is(summarize(probe), `order.release a 0..${KEY_COUNT - 1}`);
     const answer = (kind: "accepted" | "misdirected" | "failed") => {
       if (!("order" in probe)) throw new Error("no order");
-      const more = { handover: null, cause: "" };
-      holder.ordered(probe.order, { kind, ...more }, 1_420);
+      const fields = { handover: null, cause: "" };
+      holder.ordered(probe.order, { kind, ...fields }, 1_420);
       return holder.ranges("s")[0].state;
     };
-    return { ...world, answer };
+    return { ...context, answer };
   };
-  t.is(begin().answer("misdirected"), "vacant");
-  const silent = begin();
-  t.is(silent.answer("failed"), "expiring");
-  t.deepEqual(silent.advance(1_430, 800), []);
-  const alive = begin();
+  t.is(expireWithReusedAddress().answer("misdirected"), "vacant");
+  const unanswered = expireWithReusedAddress();
+  t.is(unanswered.answer("failed"), "expiring");
+  t.deepEqual(unanswered.advance(1_430, 800), []);
+  const alive = expireWithReusedAddress();
   t.is(alive.answer("accepted"), "assigned");
-  const back = alive.advance(1_430, 800);
-  t.deepEqual(back.map(brief), [`order.grant a 0..${KEY_COUNT - 1}`]);
+  const regrants = alive.advance(1_430, 800);
+  t.deepEqual(regrants.map(summarize), [`order.grant a 0..${KEY_COUNT - 1}`]);
 });
 
-test("term holder: orders are made in portions, the longest due first, until none is due", (t) => {
+test("term holder: due orders are sent in batches, the oldest first, until none is due", (t) => {
   const servers = Array.from({ length: 50 }, (_, i) => `i-${i}`);
   const fleet = Fleet.create();
   fleet.apply(servers.map((id) => backendServer(id)), [], 0);
@@ -336,7 +345,7 @@
     largest = Math.max(largest, orders.length);
     for (const { order, first } of orders) {
       granted.set(first, (granted.get(first) ?? 0) + 1);
-      // No connection was made in time: it is due again at once.
+      // No connection was opened in time, so the order is due again at once.
       const isWithheld = first < 30 * size && now < 100;
       const outcome = isWithheld
         ? { kind: "withheld" } as const
