--- a/src/core/keyspace/order_outcomes.ts
+++ b/src/core/keyspace/order_outcome_handler.ts
@@ -10,7 +10,7 @@
   type LeaseTiming,
   unansweredGrantEnd,
 } from "./lease_timing.ts";
-import type { OrderTracker, PendingOrder } from "./order_book.ts";
+import type { OrderTracker, PendingOrder } from "./order_tracker.ts";
 import type { RangeServers } from "./range_servers.ts";
 import type { RangeTransitions } from "./range_transitions.ts";
 
--- a/src/core/keyspace/range_servers.ts
+++ b/src/core/keyspace/range_servers.ts
@@ -10,7 +10,7 @@
 import type { Fleet } from "../fleet/index.ts";
 import { KEY_COUNT } from "./assignment.ts";
 import type { HeldRange } from "./held_range.ts";
-import type { PendingOrder } from "./order_book.ts";
+import type { PendingOrder } from "./order_tracker.ts";
 
 /**
  * Number of consecutive unanswered orders after which a server counts as lost.
--- a/src/core/keyspace/term_campaign.ts
+++ b/src/core/keyspace/term_campaign.ts
@@ -15,10 +15,10 @@
 import type { Fleet } from "../fleet/index.ts";
 import type { Assignment } from "./assignment.ts";
 import { Candidacy } from "./candidacy.ts";
-import type { OutstandingLease } from "./exposure.ts";
 import type { KeyLoads } from "./key_load.ts";
 import type { Group, KeyspaceEffect, OrderOutcome } from "./keyspace_effect.ts";
 import type { LeaseTiming } from "./lease_timing.ts";
+import type { OutstandingLease } from "./outstanding_lease.ts";
 import { TermHolder } from "./term_holder.ts";
 
 /**
--- a/src/core/keyspace/term_holder.ts
+++ b/src/core/keyspace/term_holder.ts
@@ -10,19 +10,19 @@
  */
 import type { Fleet } from "../fleet/index.ts";
 import { type Assignment, coversAllKeys } from "./assignment.ts";
-import type { OutstandingLease } from "./exposure.ts";
 import type { HeldRange } from "./held_range.ts";
-import { KeyRebalancer } from "./key_balance.ts";
 import type { KeyLoads } from "./key_load.ts";
+import { KeyRebalancer } from "./key_rebalancer.ts";
+import type { KeyspaceEffect, OrderOutcome } from "./keyspace_effect.ts";
 import { type LeaseTiming, predecessorEnd } from "./lease_timing.ts";
-import { OrderTracker } from "./order_book.ts";
-import { OrderOutcomeHandler } from "./order_outcomes.ts";
+import { OrderOutcomeHandler } from "./order_outcome_handler.ts";
+import { OrderTracker } from "./order_tracker.ts";
+import type { OutstandingLease } from "./outstanding_lease.ts";
 import type { Move } from "./placement.ts";
-import { RecordWriter } from "./record_writer.ts";
 import { RangeServers } from "./range_servers.ts";
 import { RangeTable } from "./range_table.ts";
 import { PROPAGATION_DELAY, RangeTransitions } from "./range_transitions.ts";
-import type { KeyspaceEffect, OrderOutcome } from "./keyspace_effect.ts";
+import { RecordWriter } from "./record_writer.ts";
 
 /**
  * Largest piece into which the keys of a lost server are divided, as a share of
