--- a/src/core/keyspace/term_campaign.ts
+++ b/src/core/keyspace/term_campaign.ts
@@ -247,7 +247,7 @@
     );
     const former = this.#latestHolder;
     if (former?.term === records.term) {
-      holder.relieve(former.exposures(now), now);
+      holder.relieve(former.outstandingLeases(now), now);
     }
     this.#latestHolder = holder;
     this.#phase = { kind: "leading", holder };
@@ -343,7 +343,7 @@
       return null;
     }
     if (this.holder === last) this.#phase = { kind: "follower" };
-    return last.exposures(now);
+    return last.outstandingLeases(now);
   }
 
   /**
--- a/src/core/keyspace/term_holder.ts
+++ b/src/core/keyspace/term_holder.ts
@@ -139,7 +139,7 @@
    * by those that it inherited. Valid only for a term holder that sends no more
    * orders.
    */
-  exposures(now: number): OutstandingLease[] {
+  outstandingLeases(now: number): OutstandingLease[] {
     return this.#allTables.flatMap(({ service, ranges }) =>
       ranges.map((range) => {
         const { first, last } = range;
