--- a/src/core/fleet/backend_server.ts
+++ b/src/core/fleet/backend_server.ts
@@ -1,33 +1,33 @@
 /**
- * Backend servers as the registry lists them, and what this VM has seen of each.
+ * A backend server's entry in the registry, and the load that it reports.
  *
  * @module
  */
 import * as z from "zod";
 
-/** A run of a backend server process, as it registered itself. */
+/** The registry entry of one process of a backend server, written by that process. */
 export const backendServerSchema = z.object({
-  /** Names the server, which keeps it when it is restarted; a run of it is
-   * named by id and incarnation. */
+  /** Identifies the server across restarts; id and incarnation together identify one
+   * process of it. */
   id: z.string().min(1),
-  /** When this run started, in Unix milliseconds by the server's clock; 0 where
-   * that is not told. Only equality says something: clocks step back. */
+  /** When this process started, in Unix milliseconds of the server's clock; 0 if it does
+   * not report that. Compared for equality only, since clocks can step back. */
   incarnation: z.number().int().nonnegative(),
   service: z.string().min(1),
   address: z.string().min(1),
   availabilityZone: z.string(),
-  /** Requests that it runs at a time. */
+  /** Maximum number of requests that it runs concurrently. */
   slots: z.number().int().positive(),
-  /** Whether it is about to leave and takes no new work. */
+  /** Whether it is shutting down and accepts no new requests. */
   isDraining: z.boolean(),
-  /** Time for which it stays slow after its start, in milliseconds. */
+  /** Remaining time for which it is slow after its start, in milliseconds. */
   warmUp: z.number().nonnegative(),
 });
 
 /** See {@linkcode backendServerSchema}. */
 export type BackendServer = z.infer<typeof backendServerSchema>;
 
-/** Load that a server states with an answer. */
+/** Load that a server reports with a response: numbers of requests. */
 export interface ReportedLoad {
   running: number;
   waiting: number;
--- a/src/core/fleet/evacuations.ts
+++ b/src/core/fleet/evacuations.ts
@@ -1,42 +1,42 @@
 /**
- * Availability zones that operators have asked to evacuate: nothing is sent to their
- * servers until the request is taken back.
+ * Availability zones that operators have evacuated. Their servers receive no requests
+ * until the evacuation is undone.
  *
- * Each VM learns of it from the store's feed, or from the term holder where it leaves
- * the feed to that. Both name the position in the feed up to which they know it, and
- * what is known up to a later one wins.
+ * A VM reads evacuations from the store's feed, or receives them from the term holder
+ * if it does not read the feed itself. Both sources carry a position in the feed; the
+ * state at the later position applies.
  *
  * @module
  */
 import * as z from "zod";
 
-/** Longest name of an availability zone, in characters. */
-const LONGEST_NAME = 255;
-/** Zones that are kept at the most; bounds what an operator's mistake costs. */
+/** Maximum length of an availability zone's name, in characters. */
+const MAXIMUM_NAME_LENGTH = 255;
+/** Maximum number of evacuated zones; limits memory if an operator's input is wrong. */
 const MAXIMUM_ZONES = 256;
 
 /** Schema of {@linkcode EvacuationNews}. */
 export const evacuationNewsSchema = z.object({
-  /** Position in the feed up to which this is known. */
+  /** Position in the feed at which this state applies. */
   position: z.number().int().nonnegative(),
-  /** All zones that are evacuated. */
-  zones: z.array(z.string().max(LONGEST_NAME)).max(MAXIMUM_ZONES),
+  /** All evacuated zones. */
+  zones: z.array(z.string().max(MAXIMUM_NAME_LENGTH)).max(MAXIMUM_ZONES),
 });
 
-/** What one VM tells another. */
+/** The evacuated zones, as one VM sends them to another. */
 export type EvacuationNews = z.infer<typeof evacuationNewsSchema>;
 
-/** What a read of the feed brought. */
+/** The result of a read of the feed. */
 export interface EvacuationRead {
   position: number;
   evacuated: readonly string[];
-  /** Zones whose request was taken back. */
+  /** Zones whose evacuation was undone. */
   restored: readonly string[];
-  /** Whether `evacuated` are all there are. */
+  /** Whether `evacuated` lists all evacuated zones. */
   isWhole: boolean;
 }
 
-/** Zones that were not evacuated before, and those that no longer are. */
+/** Zones that became evacuated, and zones whose evacuation ended. */
 export interface EvacuationChange {
   evacuated: string[];
   restored: string[];
@@ -49,44 +49,43 @@
 
   private constructor() {}
 
-  /** No zone is known to be evacuated. */
+  /** Starts without evacuated zones. */
   static create(): Evacuations {
     return new Evacuations();
   }
 
-  /** Position in the feed up to which this VM knows it, or -1. */
+  /** Position in the feed of the known state, or -1 before the first one. */
   get position(): number {
     return this.#position;
   }
 
-  /** Whether the servers of a zone get nothing. */
+  /** Whether a zone is evacuated. */
   has(zone: string): boolean {
     return this.#zones.has(zone);
   }
 
-  /** All evacuated zones. */
   get zones(): string[] {
     return [...this.#zones];
   }
 
-  /** What other VMs are told; null while nothing is known. */
+  /** The state to send to other VMs; null while none is known. */
   get news(): EvacuationNews | null {
     const { position, zones } = this;
     return position < 0 ? null : { position, zones };
   }
 
-  /** Takes what the store tells. */
+  /** Applies the result of a read of the feed. */
   read(read: EvacuationRead): EvacuationChange {
     const { position, evacuated, restored, isWhole } = read;
     if (position < this.#position) return { evacuated: [], restored: [] };
     const kept = isWhole ? [] : this.zones;
     const zones = [...kept, ...evacuated].filter((zone) =>
-      !restored.includes(zone) && zone.length <= LONGEST_NAME
+      !restored.includes(zone) && zone.length <= MAXIMUM_NAME_LENGTH
     );
     return this.#replace(position, zones);
   }
 
-  /** Takes what another VM tells. */
+  /** Applies the state that another VM sent. */
   learn({ position, zones }: EvacuationNews): EvacuationChange {
     if (position <= this.#position) return { evacuated: [], restored: [] };
     return this.#replace(position, zones);
--- a/src/core/fleet/evacuations_test.ts
+++ b/src/core/fleet/evacuations_test.ts
@@ -8,7 +8,7 @@
   isWhole = false,
 ) => ({ position, evacuated, restored, isWhole });
 
-test("evacuations: several zones at once, taken back one by one", (t) => {
+test("evacuations: zones are evacuated together and restored one by one", (t) => {
   const evacuations = Evacuations.create();
   t.is(evacuations.news, null);
   t.deepEqual(evacuations.read(read(1, ["a", "unknown"])), {
@@ -26,14 +26,14 @@
   t.deepEqual(evacuations.zones, ["unknown", "b"]);
 });
 
-test("evacuations: a whole read names all there are", (t) => {
+test("evacuations: a complete read replaces the known zones", (t) => {
   const evacuations = Evacuations.create();
   evacuations.read(read(5, ["a"]));
   const change = evacuations.read(read(6, ["b"], [], true));
   t.deepEqual(change, { evacuated: ["b"], restored: ["a"] });
 });
 
-test("evacuations: what is known up to a later position wins, however it comes", (t) => {
+test("evacuations: the state at the later position applies, whatever its source", (t) => {
   const reader = Evacuations.create();
   const follower = Evacuations.create();
   reader.read(read(7, ["a"]));
--- a/src/core/fleet/fleet.ts
+++ b/src/core/fleet/fleet.ts
@@ -1,81 +1,80 @@
 /**
- * The backend servers that the registry lists.
+ * The backend servers that the registry lists, with this VM's state of each.
  *
  * @module
  */
 import type { BackendServer } from "./backend_server.ts";
 import { type EvacuationChange, Evacuations } from "./evacuations.ts";
-import type { RateChange, RateStatement } from "./stated_rate.ts";
+import type { RateLimitChange, RateLimitReport } from "./stated_rate.ts";
 import {
   type LatencySamples,
-  type StatedLoad,
+  type LoadReport,
   TrackedServer,
 } from "./tracked_server.ts";
 
 /**
- * Time after the registry is back within which entries that lapsed during its
- * outage are written again, in milliseconds; as the platform's operators state
- * it. Removals that are read in this time take effect at its end, if the entry
- * has not come back.
+ * Time after an outage of the registry within which servers write expired entries
+ * again, in milliseconds; specified by the platform's operators. A removal that is read
+ * in this time takes effect at its end, unless the entry was written again.
  */
-const RETURN_TIME = 2_000;
+const REWRITE_TIME = 2_000;
 
 /**
- * Time for which a server whose entry cannot be read any more is still used, in
- * milliseconds: one heartbeat, with which a living server writes its entry anew,
- * and one read of the registry. Another writer then costs no request, and a
- * server that has ended is found out by its failures as before.
+ * Time for which a server is still used after its entry became unreadable, in
+ * milliseconds: one heartbeat, with which a running server rewrites its entry, plus one
+ * read of the registry. An entry that another writer overwrote thus fails no request;
+ * a server that has ended is still detected by its failures.
  */
-const UNREADABLE_TIME = 1_500;
+const UNREADABLE_ENTRY_TIMEOUT = 1_500;
 
-/** Time for which a mean over a service's servers is kept, in milliseconds:
- * requests look at it several times each, and it changes slowly. */
-const MEAN_LIFETIME = 50;
+/** Time for which the mean latency of a service's servers is cached, in milliseconds.
+ * Each request reads it several times, and it changes slowly. */
+const MEAN_LATENCY_LIFETIME = 50;
 
-/** Answer times of one server, by its id. */
+/** Latency samples of one server. */
 export interface ServerSamples extends LatencySamples {
   server: string;
 }
 
-/** Load that a server stated, by its id. */
-export interface ServerLoad extends StatedLoad {
+/** Load that one server reported. */
+export interface ServerLoad extends LoadReport {
   server: string;
 }
 
-/** Rate limit that a server has stated, by its id. */
-export interface ServerRate extends RateStatement {
+/** Rate limit that one server reported. */
+export interface ServerRate extends RateLimitReport {
   server: string;
 }
 
-/** The rate limit of a server has begun or ended. */
+/** Start or end of a server's rate limit. */
 export interface ServerRateChange {
   server: TrackedServer;
-  change: RateChange;
+  change: RateLimitChange;
 }
 
-/** A change of the list of servers. */
+/** A change to the list of servers. */
 export interface FleetChange {
-  /** `restarted`: its id is listed with another incarnation than before. */
+  /** `restarted`: the id is listed with another incarnation than before. */
   kind: "joined" | "restarted" | "draining" | "removed";
   server: BackendServer;
 }
 
 /** See the module's comment. */
 export class Fleet {
-  /** Zones whose servers get nothing. */
+  /** Zones whose servers receive no requests. */
   readonly evacuations = Evacuations.create();
   readonly #servers = new Map<string, TrackedServer>();
   readonly #byService = new Map<string, TrackedServer[]>();
   readonly #joinedAt = new Map<string, number>();
-  /** Ids that only words without a position have listed. */
+  /** Ids of servers that are known only from other VMs, without a registry position. */
   readonly #unconfirmed = new Set<string>();
-  /** Ids whose removal waits, and until when. */
-  readonly #doubtful = new Map<string, number>();
-  readonly #usualLatencies = new Map<
+  /** Times of deferred removals, by the server's id. */
+  readonly #deferredRemovals = new Map<string, number>();
+  readonly #meanLatencies = new Map<
     string,
     { latency: number; until: number }
   >();
-  #regainedAt = -Infinity;
+  #registryRestoredAt = -Infinity;
 
   private constructor() {}
 
@@ -84,12 +83,12 @@
     return new Fleet();
   }
 
-  /** The registry answers again after an outage. */
+  /** Records that the registry is available again after an outage. */
   regained(now: number): void {
-    this.#regainedAt = now;
+    this.#registryRestoredAt = now;
   }
 
-  /** Zones were evacuated or taken back. */
+  /** Applies evacuations that started or ended. */
   evacuate({ evacuated, restored }: EvacuationChange, now: number): void {
     for (const server of this.#servers.values()) {
       const { availabilityZone } = server.entry;
@@ -98,8 +97,8 @@
     }
   }
 
-  /** Takes new or changed entries, removals, and servers whose entry cannot be
-   * read any more. */
+  /** Applies new and changed entries, removals, and ids of servers whose entry became
+   * unreadable. */
   apply(
     entries: readonly BackendServer[],
     removed: readonly string[],
@@ -107,25 +106,27 @@
     unreadable: readonly string[] = [],
   ): FleetChange[] {
     const changes: FleetChange[] = [];
-    for (const id of unreadable) this.#doubt(id, now);
-    for (const id of removed) this.#withdraw(id, now, changes);
-    for (const entry of entries) this.#put(entry, now, changes);
+    for (const id of unreadable) this.#removeLater(id, now);
+    for (const id of removed) this.#removeOrDefer(id, now, changes);
+    for (const entry of entries) this.#upsert(entry, now, changes);
     return changes;
   }
 
   /**
-   * Takes entries that another VM knows, by a word without a position in the
-   * registry. Such a word cannot tell which of two runs is the newer, so a
-   * server that is listed stays the run that it is: a wrong step back would
-   * forget what the newer run holds, while one that is late is made up for by
-   * the next read. Nor can it tell whether a server has been removed since: one
-   * that is doubted stays so, and one that is not listed has to be confirmed.
+   * Applies entries that another VM sent without a position in the registry.
+   *
+   * Without a position the order of two incarnations is unknown, so an entry of another
+   * incarnation than the listed one is ignored: returning to an older incarnation would
+   * discard the state of the newer one, whereas a missed newer one is corrected by the
+   * next read. It is also unknown whether the server was removed in the meantime. A
+   * pending removal therefore stays pending, and a server that was not listed has to be
+   * confirmed by {@linkcode confirm}.
    */
   learn(entries: readonly BackendServer[], now: number): FleetChange[] {
-    const isOfSameRun = ({ id, incarnation }: BackendServer) =>
+    const isSameIncarnation = ({ id, incarnation }: BackendServer) =>
       (this.get(id)?.entry.incarnation ?? incarnation) === incarnation;
     const usable = entries.filter((entry) =>
-      isOfSameRun(entry) && !this.#doubtful.has(entry.id)
+      isSameIncarnation(entry) && !this.#deferredRemovals.has(entry.id)
     );
     for (const { id } of usable) {
       if (!this.#servers.has(id)) this.#unconfirmed.add(id);
@@ -133,16 +134,16 @@
     return this.apply(usable, [], now);
   }
 
-  /** The registry is known again, by a position: a server that only other VMs
-   * told of and that is not listed there goes, unless an entry of it comes. */
+  /** Checks servers known only from other VMs against the registry, whose content at a
+   * position is known again. Unlisted ones are removed, unless an entry follows. */
   confirm(isListed: (id: string) => boolean, now: number): void {
     for (const id of this.#unconfirmed) {
-      if (!isListed(id)) this.#doubt(id, now);
+      if (!isListed(id)) this.#removeLater(id, now);
     }
     this.#unconfirmed.clear();
   }
 
-  /** Takes a whole list: servers that it does not hold are removed. */
+  /** Applies a complete list: servers that it does not contain are removed. */
   replace(
     entries: readonly BackendServer[],
     now: number,
@@ -156,21 +157,19 @@
     return this.apply(entries, missing, now, unreadable);
   }
 
-  /** Carries out removals whose time has come. */
+  /** Carries out deferred removals that are due. */
   expire(now: number): FleetChange[] {
     const changes: FleetChange[] = [];
-    for (const [id, at] of this.#doubtful) {
+    for (const [id, at] of this.#deferredRemovals) {
       if (at <= now) this.#remove(id, changes);
     }
     return changes;
   }
 
-  /** All servers. */
   all(): TrackedServer[] {
     return [...this.#servers.values()];
   }
 
-  /** A server by id. */
   get(id: string): TrackedServer | undefined {
     return this.#servers.get(id);
   }
@@ -180,7 +179,7 @@
     return this.#byService.get(service) ?? [];
   }
 
-  /** What this VM has measured of a service's servers since it was asked last. */
+  /** Returns this VM's samples of a service's servers since the last call. */
   takeSamples(service: string, now: number): ServerSamples[] {
     return this.of(service).flatMap((server) => {
       const samples = server.takeSamples(now);
@@ -188,53 +187,53 @@
     });
   }
 
-  /** Takes in what another VM has measured. */
+  /** Adds samples that another VM measured. */
   observe(samples: readonly ServerSamples[], now: number): void {
     for (const { server, ...each } of samples) {
       this.#servers.get(server)?.observe(each, now);
     }
   }
 
-  /** Takes in what other VMs were told of servers' load. */
+  /** Applies loads that servers reported to other VMs. */
   hearLoads(loads: readonly ServerLoad[], now: number): void {
     for (const { server, ...load } of loads) {
-      this.#servers.get(server)?.hearLoad(load, now);
+      this.#servers.get(server)?.applyLoadReport(load, now);
     }
   }
 
-  /** Takes the rate limits that servers have stated to this VM since the last call. */
+  /** Returns the rate limits that servers reported to this VM since the last call. */
   takeRates(now: number): ServerRate[] {
     return this.all().flatMap(({ id, rate }) => {
-      const statement = rate.takeUnreported(now);
-      return statement === null ? [] : [{ server: id, ...statement }];
+      const report = rate.takeUnsent(now);
+      return report === null ? [] : [{ server: id, ...report }];
     });
   }
 
-  /** All rate limits that were stated recently, including those that have ended. */
+  /** All recently reported rate limits, including those that have ended. */
   statedRates(now: number): ServerRate[] {
     return this.all().flatMap(({ id, rate }) => {
-      const statement = rate.statement(now);
-      return statement === null ? [] : [{ server: id, ...statement }];
+      const report = rate.latestReport(now);
+      return report === null ? [] : [{ server: id, ...report }];
     });
   }
 
-  /** Applies rate limits that servers have stated to other VMs; returns the changes. */
+  /** Applies rate limits that servers reported to other VMs; returns the changes. */
   hearRates(rates: readonly ServerRate[], now: number): ServerRateChange[] {
-    return rates.flatMap(({ server: id, ...statement }) => {
+    return rates.flatMap(({ server: id, ...report }) => {
       const server = this.#servers.get(id);
-      const change = server?.rate.heard(statement, now) ?? null;
+      const change = server?.rate.applyPeerReport(report, now) ?? null;
       return change === null ? [] : [{ server: server!, change }];
     });
   }
 
-  /** When a server of a service was listed last that was not before; one that
-   * has started again counts, since it holds nothing. */
+  /** When a server last joined a service, or -Infinity. A restarted server counts as
+   * joined, since it owns no keys. */
   joinedAt(service: string): number {
     return this.#joinedAt.get(service) ?? -Infinity;
   }
 
-  /** Whether another server than `id` is listed at `address`. It may have been
-   * there before: entries of servers that are gone stay for a while. */
+  /** Whether a server other than `id` is listed at `address`. It may be an earlier user
+   * of the address, since entries of servers that have ended remain for a while. */
   isReused(address: string, id: string): boolean {
     for (const server of this.#servers.values()) {
       if (server.entry.address === address && server.id !== id) return true;
@@ -244,15 +243,15 @@
 
   /** Mean of the known latencies of a service's servers, in milliseconds. */
   usualLatency(service: string, now: number): number {
-    const known = this.#usualLatencies.get(service);
+    const known = this.#meanLatencies.get(service);
     if (known !== undefined && now < known.until) return known.latency;
-    const latency = this.#meanLatency(service);
-    const until = now + MEAN_LIFETIME;
-    this.#usualLatencies.set(service, { latency, until });
+    const latency = this.#computeMeanLatency(service);
+    const until = now + MEAN_LATENCY_LIFETIME;
+    this.#meanLatencies.set(service, { latency, until });
     return latency;
   }
 
-  #meanLatency(service: string): number {
+  #computeMeanLatency(service: string): number {
     let sum = 0;
     let count = 0;
     for (const { latency } of this.of(service)) {
@@ -263,25 +262,25 @@
     return count === 0 ? 0 : sum / count;
   }
 
-  #put(entry: BackendServer, now: number, changes: FleetChange[]): void {
+  #upsert(entry: BackendServer, now: number, changes: FleetChange[]): void {
     const known = this.#servers.get(entry.id);
     if (known === undefined) {
       this.#add(entry, now);
       changes.push({ kind: "joined", server: entry });
       return;
     }
-    if (!mayBeOf(known.entry, entry)) return this.#doubt(entry.id, now);
-    this.#doubtful.delete(entry.id);
+    if (!mayBeFrom(known.entry, entry)) return this.#removeLater(entry.id, now);
+    this.#deferredRemovals.delete(entry.id);
     if (entry.incarnation !== known.entry.incarnation) {
-      // Nothing that was seen of the older run holds for this one.
-      this.#forget(known);
+      // Observations of the previous incarnation do not apply to this one.
+      this.#unlist(known);
       this.#add(entry, now);
       changes.push({ kind: "restarted", server: entry });
       return;
     }
     const wasDraining = known.entry.isDraining;
-    // No run goes back from draining: an entry that says so is an old heartbeat
-    // that came late, and what is sent there would reach a server that leaves.
+    // A process never returns from draining: such an entry is a delayed heartbeat, and
+    // requests would be sent to a server that is shutting down.
     const isDraining = entry.isDraining || wasDraining;
     known.update({ ...entry, isDraining }, now);
     if (isDraining && !wasDraining) {
@@ -299,7 +298,7 @@
     this.#byService.set(entry.service, [...others, server]);
   }
 
-  #forget({ id, entry: { service } }: TrackedServer): void {
+  #unlist({ id, entry: { service } }: TrackedServer): void {
     this.#servers.delete(id);
     this.#unconfirmed.delete(id);
     const others = this.of(service).filter((each) => each.id !== id);
@@ -307,34 +306,34 @@
     else this.#byService.delete(service);
   }
 
-  #withdraw(id: string, now: number, changes: FleetChange[]): void {
-    const until = this.#regainedAt + RETURN_TIME;
+  #removeOrDefer(id: string, now: number, changes: FleetChange[]): void {
+    const until = this.#registryRestoredAt + REWRITE_TIME;
     if (until <= now) return this.#remove(id, changes);
-    if (this.#servers.has(id)) this.#doubtful.set(id, until);
+    if (this.#servers.has(id)) this.#deferredRemovals.set(id, until);
   }
 
-  /** The newest entry of a server names none to use: it goes, unless a good one
-   * comes in time. */
-  #doubt(id: string, now: number): void {
-    if (!this.#servers.has(id) || this.#doubtful.has(id)) return;
-    this.#doubtful.set(id, now + UNREADABLE_TIME);
+  /** Removes a server without a usable entry after a delay, unless one is written by
+   * then. */
+  #removeLater(id: string, now: number): void {
+    if (!this.#servers.has(id) || this.#deferredRemovals.has(id)) return;
+    this.#deferredRemovals.set(id, now + UNREADABLE_ENTRY_TIMEOUT);
   }
 
   #remove(id: string, changes: FleetChange[]): void {
-    this.#doubtful.delete(id);
+    this.#deferredRemovals.delete(id);
     const server = this.#servers.get(id);
     if (server === undefined) return;
-    this.#forget(server);
+    this.#unlist(server);
     changes.push({ kind: "removed", server: server.entry });
   }
 }
 
 /**
- * Whether `next` may be an entry of the server that wrote `known`. A server keeps
- * its service, and one that tells its incarnation always does: an entry without
- * is another writer's.
+ * Whether `next` may be an entry of the server that wrote `known`. A server never
+ * changes its service, and always reports its incarnation if it did so once; any other
+ * entry was written by something else.
  */
-function mayBeOf(known: BackendServer, next: BackendServer): boolean {
-  const isTold = next.incarnation !== 0 || known.incarnation === 0;
-  return isTold && next.service === known.service;
+function mayBeFrom(known: BackendServer, next: BackendServer): boolean {
+  const hasIncarnation = next.incarnation !== 0 || known.incarnation === 0;
+  return hasIncarnation && next.service === known.service;
 }
--- a/src/core/fleet/fleet_test.ts
+++ b/src/core/fleet/fleet_test.ts
@@ -7,7 +7,7 @@
   return backendServer(id, { service: "stock", ...change });
 }
 
-test("fleet: changes are told once", (t) => {
+test("fleet: reports each change once", (t) => {
   const fleet = Fleet.create();
   const kinds = (changes: { kind: string; server: BackendServer }[]) =>
     changes.map(({ kind, server }) => `${server.id} ${kind}`);
@@ -22,7 +22,7 @@
   });
 });
 
-test("fleet: a run that takes the id of another is told once", (t) => {
+test("fleet: reports a restarted server once", (t) => {
   const fleet = Fleet.create();
   fleet.apply([entry("a", { incarnation: 100 })], [], 0);
   const restarted = entry("a", { incarnation: 200 });
@@ -32,25 +32,25 @@
   t.deepEqual(fleet.apply([restarted], [], 2), []);
 });
 
-/** A server whose older run was seen to be slow, silent, full, failing and
- * draining, and that was then listed with another incarnation. */
+/** A fleet with a server that was slow, unresponsive, full, failing and draining, and
+ * was then listed with another incarnation. */
 function restartedFleet(): Fleet {
   const fleet = Fleet.create();
   fleet.apply([entry("a", { incarnation: 100 })], [], 0);
-  const older = fleet.get("a")!;
-  for (let attempt = 1; attempt <= 6; attempt++) older.started(attempt, 0);
-  older.answered(1, 800, { running: 3, waiting: 9, slots: 3 });
-  older.refused(2, 810, null);
-  older.failed(3, 820);
-  older.failed(4, 830);
+  const previous = fleet.get("a")!;
+  for (let attempt = 1; attempt <= 6; attempt++) previous.started(attempt, 0);
+  previous.answered(1, 800, { running: 3, waiting: 9, slots: 3 });
+  previous.refused(2, 810, null);
+  previous.failed(3, 820);
+  previous.failed(4, 830);
   const leaving = entry("a", { incarnation: 100, isDraining: true });
   fleet.apply([leaving], [], 840);
   fleet.apply([entry("a", { incarnation: 200, warmUp: 900 })], [], 850);
   return fleet;
 }
 
-/** What is known of the server of {@linkcode restartedFleet}. */
-function describe(fleet: Fleet) {
+/** The state of the server of {@linkcode restartedFleet}. */
+function serverState(fleet: Fleet) {
   const server = fleet.get("a")!;
   return {
     incarnation: server.entry.incarnation,
@@ -71,30 +71,30 @@
   };
 }
 
-test("fleet: a new run starts with nothing that was seen of the older run", (t) => {
-  t.snapshot(describe(restartedFleet()));
+test("fleet: a restarted server keeps no observations of its previous incarnation", (t) => {
+  t.snapshot(serverState(restartedFleet()));
 });
 
-test("fleet: attempts at the older run say nothing of the new one", (t) => {
+test("fleet: ignores outcomes of attempts at the previous incarnation", (t) => {
   const fleet = restartedFleet();
-  const before = describe(fleet);
+  const before = serverState(fleet);
   const server = fleet.get("a")!;
   server.failed(5, 851);
   server.failed(6, 852);
   server.answered(1, 853, { running: 3, waiting: 9, slots: 3 });
   server.refused(2, 854, { running: 3, waiting: 9, slots: 3 });
   server.cancelled(3);
-  t.deepEqual(describe(fleet), before);
+  t.deepEqual(serverState(fleet), before);
 });
 
-test("fleet: what takes the place of the older run counts as a server that joined", (t) => {
+test("fleet: a restarted server counts as joined", (t) => {
   const fleet = restartedFleet();
   t.is(fleet.joinedAt("stock"), 850);
   fleet.apply([entry("a", { incarnation: 200 })], [], 900);
   t.is(fleet.joinedAt("stock"), 850);
 });
 
-test("fleet: the service of the older run is left by a new one that names another", (t) => {
+test("fleet: a restarted server with another service leaves its previous service", (t) => {
   const fleet = restartedFleet();
   const moved = entry("a", { incarnation: 300, service: "orders" });
   fleet.apply([moved], [], 900);
@@ -104,8 +104,8 @@
   t.deepEqual(fleet.of("orders").map(({ id }) => id), ["a"]);
 });
 
-test("fleet: a run that was seen draining does not take work again", (t) => {
-  // A heartbeat of before that reaches the registry late lists it as ready.
+test("fleet: an incarnation that was draining stays draining", (t) => {
+  // A delayed heartbeat from before the drain lists the server as ready.
   const fleet = Fleet.create();
   const leaving = entry("a", { incarnation: 100, isDraining: true });
   fleet.apply([leaving], [], 0);
@@ -117,7 +117,7 @@
   t.is(fleet.get("a")!.drainingSince, null);
 });
 
-test("fleet: an entry that cannot be read costs no server that writes it anew", (t) => {
+test("fleet: keeps a server that rewrites its unreadable entry in time", (t) => {
   const fleet = Fleet.create();
   const both = [entry("a", { incarnation: 5 }), entry("b", { incarnation: 6 })];
   fleet.apply(both, [], 0);
@@ -130,14 +130,14 @@
   t.deepEqual(fleet.expire(60_000), []);
 });
 
-test("fleet: in a whole list too an entry that cannot be read is no removal", (t) => {
+test("fleet: an unreadable entry in a complete list is not an immediate removal", (t) => {
   const fleet = Fleet.create();
   fleet.apply([entry("a"), entry("b")], [], 0);
   t.deepEqual(fleet.replace([entry("a")], 1_000, ["b"]), []);
   t.is(fleet.expire(2_500).length, 1);
 });
 
-test("fleet: an entry that cannot be of the server that is listed is not taken", (t) => {
+test("fleet: rejects an entry that the listed server cannot have written", (t) => {
   const fleet = Fleet.create();
   const own = entry("a", { incarnation: 5 });
   fleet.apply([own], [], 0);
@@ -151,7 +151,7 @@
   t.is(fleet.expire(71_500).length, 1);
 });
 
-test("fleet: what lapsed in an outage may come back for two seconds", (t) => {
+test("fleet: keeps expired entries for two seconds after an outage of the registry", (t) => {
   const fleet = Fleet.create();
   fleet.apply([entry("a"), entry("b")], [], 0);
   fleet.regained(10_000);
@@ -163,7 +163,7 @@
   t.is(fleet.apply([], ["a"], 12_500).length, 1);
 });
 
-test("fleet: a server that stays silent is told from one that is slow", (t) => {
+test("fleet: distinguishes an unresponsive server from a slow one", (t) => {
   const fleet = Fleet.create();
   fleet.apply([entry("a")], [], 0);
   const server = fleet.get("a")!;
@@ -175,7 +175,7 @@
   t.false(server.isSilent(320, 50));
 });
 
-test("fleet: failures in a row pause a server for longer and longer", (t) => {
+test("fleet: consecutive failures pause a server with exponential backoff", (t) => {
   const fleet = Fleet.create();
   fleet.apply([entry("a")], [], 0);
   const server = fleet.get("a")!;
--- a/src/core/fleet/stated_rate.ts
+++ b/src/core/fleet/stated_rate.ts
@@ -1,78 +1,79 @@
 /**
- * The rate limit that a server states with its answers: the maximum number of requests
- * per second from all VMs combined. It applies until the server stops stating it.
+ * The rate limit that a server reports with its responses: the maximum number of
+ * requests per second from all VMs combined. It applies until the server stops reporting
+ * it.
  *
  * @module
  */
 import * as z from "zod";
 
-/** Shortest and longest time after which a limit that is not restated expires, in
+/** Shortest and longest time after which a limit that is not reported again expires, in
  * milliseconds. */
-const SHORTEST_LIFETIME = 10_000;
-const LONGEST_LIFETIME = 60_000;
+const MINIMUM_LIFETIME = 10_000;
+const MAXIMUM_LIFETIME = 60_000;
 /** Lifetime in multiples of the interval between requests at the limit, so that a low
- * limit does not expire between two answers. */
-const LIFETIME_INTERVALS = 4;
+ * limit does not expire between two responses. */
+const INTERVALS_PER_LIFETIME = 4;
 /** Milliseconds in a second. */
-const SECOND = 1_000;
+const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Schema of {@linkcode RateStatement}. */
+/** Schema of {@linkcode RateLimitReport}. */
 export const rateStatementSchema = z.object({
-  /** Null if the server no longer states a limit. */
+  /** Null if the server no longer reports a limit. */
   requestsPerSecond: z.number().positive().nullable(),
-  /** Milliseconds since the answer that stated it. */
+  /** Milliseconds since the response that reported it. */
   age: z.number().nonnegative(),
 });
 
-/** The limit, or its absence, that a server has stated to any VM. */
-export type RateStatement = z.infer<typeof rateStatementSchema>;
+/** The limit, or its absence, that a server has reported to any VM. */
+export type RateLimitReport = z.infer<typeof rateStatementSchema>;
 
-/** Whether a limit has begun or ended. */
-export type RateChange = "limited" | "unlimited";
+/** Whether a limit came into force or ended. */
+export type RateLimitChange = "limited" | "unlimited";
 
 /** See the module's comment. Times are milliseconds of this VM's clock. */
-export class StatedRate {
+export class ReportedRateLimit {
   #requestsPerSecond: number | null = null;
-  /** When the latest known answer arrived, at any VM. */
-  #heardAt = -Infinity;
-  /** When a limit was last stated. */
+  /** When the latest known response arrived, at any VM. */
+  #respondedAt = -Infinity;
+  /** When a limit was last reported. */
   #limitedAt = -Infinity;
-  /** When the limit that was last stated expires. */
+  /** When the limit that was last reported expires. */
   #expiresAt = -Infinity;
-  /** Whether the latest statement came to this VM and has not been reported. */
-  #isUnreported = false;
+  /** Whether the latest report arrived at this VM and was not yet sent to others. */
+  #isUnsent = false;
 
   private constructor() {}
 
-  /** The state of a server that has stated no limit. */
-  static create(): StatedRate {
-    return new StatedRate();
+  /** The state of a server that has reported no limit. */
+  static create(): ReportedRateLimit {
+    return new ReportedRateLimit();
   }
 
   /**
-   * The server has answered a request that was sent at `sentAt`, and states a limit or
-   * none (null). An answer without a limit is ignored if its request was sent before
-   * the limit was last stated, since the answer may predate the limit.
+   * Records the limit, or null for none, in the response to a request that was sent at
+   * `sentAt`. A response without a limit is ignored if its request was sent before the
+   * limit was last reported, since the response may predate the limit.
    */
   answered(
     requestsPerSecond: number | null,
     sentAt: number,
     now: number,
-  ): RateChange | null {
+  ): RateLimitChange | null {
     if (requestsPerSecond === null && sentAt < this.#limitedAt) return null;
-    const change = this.#take(requestsPerSecond, now, now);
-    this.#isUnreported = this.#isRecent(now);
+    const change = this.#apply(requestsPerSecond, now, now);
+    this.#isUnsent = this.#isRecent(now);
     return change;
   }
 
-  /** Applies a statement to another VM, unless it is older than the latest known. */
-  heard(
-    { requestsPerSecond, age }: RateStatement,
+  /** Applies a report that another VM received, unless it is older than the latest. */
+  applyPeerReport(
+    { requestsPerSecond, age }: RateLimitReport,
     now: number,
-  ): RateChange | null {
-    if (now - age <= this.#heardAt) return null;
-    this.#isUnreported = false;
-    return this.#take(requestsPerSecond, now - age, now);
+  ): RateLimitChange | null {
+    if (now - age <= this.#respondedAt) return null;
+    this.#isUnsent = false;
+    return this.#apply(requestsPerSecond, now - age, now);
   }
 
   /** The limit in force, in requests per second, or null. */
@@ -80,28 +81,28 @@
     return this.#isRecent(now) ? this.#requestsPerSecond : null;
   }
 
-  /** The latest statement, or null if no limit was stated recently. */
-  statement(now: number): RateStatement | null {
+  /** The latest report, or null if no limit was reported recently. */
+  latestReport(now: number): RateLimitReport | null {
     if (!this.#isRecent(now)) return null;
-    const age = Math.max(0, now - this.#heardAt);
+    const age = Math.max(0, now - this.#respondedAt);
     return { requestsPerSecond: this.#requestsPerSecond, age };
   }
 
-  /** Takes the latest statement if it came to this VM since the last call. */
-  takeUnreported(now: number): RateStatement | null {
-    if (!this.#isUnreported) return null;
-    this.#isUnreported = false;
-    return this.statement(now);
+  /** Returns the latest report if it arrived at this VM since the last call. */
+  takeUnsent(now: number): RateLimitReport | null {
+    if (!this.#isUnsent) return null;
+    this.#isUnsent = false;
+    return this.latestReport(now);
   }
 
-  #take(
+  #apply(
     requestsPerSecond: number | null,
     at: number,
     now: number,
-  ): RateChange | null {
+  ): RateLimitChange | null {
     const wasLimited = this.current(now) !== null;
     this.#requestsPerSecond = requestsPerSecond;
-    this.#heardAt = at;
+    this.#respondedAt = at;
     if (requestsPerSecond !== null) {
       this.#limitedAt = at;
       this.#expiresAt = at + lifetimeOf(requestsPerSecond);
@@ -117,7 +118,10 @@
 }
 
 function lifetimeOf(requestsPerSecond: number): number {
-  const interval = SECOND / requestsPerSecond;
-  const lifetime = Math.max(SHORTEST_LIFETIME, LIFETIME_INTERVALS * interval);
-  return Math.min(LONGEST_LIFETIME, lifetime);
+  const interval = MILLISECONDS_PER_SECOND / requestsPerSecond;
+  const lifetime = Math.max(
+    MINIMUM_LIFETIME,
+    INTERVALS_PER_LIFETIME * interval,
+  );
+  return Math.min(MAXIMUM_LIFETIME, lifetime);
 }
--- a/src/core/fleet/tracked_server.ts
+++ b/src/core/fleet/tracked_server.ts
@@ -1,95 +1,100 @@
 /**
- * One backend server with this VM's own observations of it: load, latency,
- * refusals and failures. Routing goes by outcomes of requests; health checks
- * would cost a server a slot and may be wrong.
+ * One backend server with this VM's observations of it: load, latency, refusals and
+ * failures. Routing relies on the outcomes of requests rather than on active health
+ * checks, which would occupy one of the server's slots and may be wrong.
  *
  * @module
  */
 import type { BackendServer, ReportedLoad } from "./backend_server.ts";
-import { StatedRate } from "./stated_rate.ts";
+import { ReportedRateLimit } from "./stated_rate.ts";
 
-/** Weight of the newest sample in moving averages. */
+/** Weight of the newest sample in exponential moving averages. */
 const SAMPLE_WEIGHT = 0.2;
-/** Time for which a reported load counts in full, in milliseconds; others'
- * requests last about as long. */
-const LOAD_LIFETIME = 300;
-/** Time for which a load that a server stated to another VM says something, in
- * milliseconds: it comes by way of the term holder, half a second each way. */
-const STATED_LIFETIME = 2_000;
-/** First pause after failures in a row, in milliseconds; doubles with each. */
-const FIRST_PAUSE = 300;
-/** Longest such pause: a server that recovers is tried again within it. */
-const LONGEST_PAUSE = 3_000;
-/** Failures in a row before a server is paused; one may be an accident. */
+/** Time constant with which the load of other VMs decays after a report, in
+ * milliseconds; about the duration of a request. A report is recent for as long. */
+const LOAD_DECAY_TIME = 300;
+/** Time for which a load report to another VM is used, in milliseconds. It is relayed by
+ * the term holder, which takes half a second in each direction. */
+const LOAD_REPORT_LIFETIME = 2_000;
+/** Initial pause after consecutive failures, in milliseconds; doubles with each further
+ * one. */
+const INITIAL_PAUSE = 300;
+/** Maximum of that pause, in milliseconds: a server that recovers is tried again within
+ * this time. */
+const MAXIMUM_PAUSE = 3_000;
+/** Consecutive failures before a server is paused; a single one may be incidental. */
 const FAILURES_TO_PAUSE = 2;
-/** Lowest assumed share of accepted requests, so that costs stay finite. */
-const LOWEST_ACCEPTANCE = 0.05;
-/** How much longer than usual an answer may take before its server counts as
- * silent, and the shortest such time in milliseconds. */
-const SILENCE_FACTOR = 4;
-const SHORTEST_SILENCE = 250;
-
-/** Load that a server has stated to some VM. */
-export interface StatedLoad {
-  /** Requests that it had. */
+/** Lower bound of the assumed share of accepted requests, so that costs stay finite. */
+const MINIMUM_ACCEPTANCE_RATE = 0.05;
+/** Time without a response after which a server counts as unresponsive: a multiple of
+ * the mean latency, and the minimum in milliseconds. */
+const UNRESPONSIVE_LATENCY_FACTOR = 4;
+const MINIMUM_UNRESPONSIVE_TIME = 250;
+
+/** Load that a server reported to any VM. */
+export interface LoadReport {
+  /** Number of requests that it ran or queued. */
   requests: number;
-  /** Milliseconds since. */
+  /** Milliseconds since the report. */
   age: number;
 }
 
-/** Answer times that some VM has measured of a server that answered it. */
+/** Latency of a server that responded to a VM, as measured by that VM. */
 export interface LatencySamples {
   /** Mean, in milliseconds. */
   mean: number;
-  /** Answers measured; 0 where all of them had waited there first. */
+  /** Number of measured responses; 0 if all requests were queued at the server first. */
   count: number;
-  /** The load that it stated with the last answer, if it tells it. */
-  load?: StatedLoad;
+  /** The load that it reported with the last response, if any. */
+  load?: LoadReport;
 }
 
 /**
- * See the module's comment. All of it belongs to one run of the server: another
- * run gets a tracked server of its own, and an outcome of an attempt that this
- * one was not told of is one of the older run and counts for nothing.
+ * See the module's comment. An instance belongs to one incarnation of the server; the
+ * next one gets a new instance. The outcome of an attempt that was not started here
+ * belongs to the previous incarnation and is ignored.
  */
 export class TrackedServer {
-  /** When it was first seen draining, or null. */
+  /** When it was first listed as draining, or null. */
   drainingSince: number | null = null;
-  /** Since when its availability zone is evacuated, or null. */
+  /** When its availability zone was evacuated, or null. */
   evacuatedSince: number | null = null;
-  /** Until when it is cold by its own word. */
+  /** Until when it is cold according to its entry. */
   #coldUntil = -Infinity;
-  /** When it may have become cold without a word of it yet. */
-  #maybeColdAt = -Infinity;
-  /** Whether nothing listened at its address when it was last tried. */
-  #isGone = false;
-  /** Requests of this VM that it has. */
+  /** When it may have restarted and become cold without its entry showing it yet. */
+  #mayBeColdSince = -Infinity;
+  /** Whether the last connection to its address was refused. */
+  #isConnectionRefused = false;
+  /** Number of this VM's requests that it has not completed. */
   inFlight = 0;
-  /** When it last refused a request, or answered it with a failure. */
+  /** When it last refused a request or responded with a failure. */
   refusedAt = -Infinity;
   #latency: number | null = null;
-  /** Sum and number of own samples since they were taken last. */
+  /** Sum and number of this VM's samples since {@linkcode takeSamples}. */
   #sampleSum = 0;
   #sampleCount = 0;
-  #hasAnswered = false;
-  /** When some VM is known to have had a word of it. */
+  #hasResponded = false;
+  /** When a VM is last known to have received a response from it. */
   aliveAt = -Infinity;
-  #acceptance = 1;
-  #failures = 0;
+  #acceptanceRate = 1;
+  #consecutiveFailures = 0;
   #pausedUntil = 0;
+  /** Number of requests of other VMs at its latest load report to this VM, and the time
+   * of that report. */
   #othersLoad = 0;
-  #loadAt = -Infinity;
-  /** Requests that it had when it last stated its load to any VM, and when. */
-  #statedRequests = 0;
-  #statedAt = -Infinity;
-  #lastAnswerAt = -Infinity;
+  #ownReportAt = -Infinity;
+  /** Number of requests in the latest load report that any VM received, and its time. */
+  #reportedRequests = 0;
+  #reportedAt = -Infinity;
+  #lastResponseAt = -Infinity;
+  /** Start times of the attempts in flight, oldest first, by attempt number. */
   readonly #startedAt = new Map<number, number>();
-  /** The rate limit that it states. */
-  readonly rate = StatedRate.create();
+  /** The rate limit that it reports. */
+  readonly rate = ReportedRateLimit.create();
 
   private constructor(public entry: BackendServer) {}
 
-  /** A server of which nothing is known but its entry. */
+  /** A server without observations. */
   static create(entry: BackendServer): TrackedServer {
     return new TrackedServer(entry);
   }
@@ -99,209 +104,215 @@
   }
 
   /**
-   * Moving average of its answer times in milliseconds while no request waited
-   * there, or null: what the server itself needs, not its queue.
+   * Moving average of its response times in milliseconds, or null if none is known.
+   * Responses while requests were queued are excluded, so that it measures the server's
+   * processing time without its queueing delay.
    */
   get latency(): number | null {
     return this.#latency;
   }
 
-  /** Takes a newer entry of the same run. */
+  /** Applies a newer entry of the same incarnation. */
   update(entry: BackendServer, now: number): void {
     this.entry = entry;
     if (entry.isDraining) this.drainingSince ??= now;
     if (entry.warmUp > 0) this.#coldUntil = now + entry.warmUp;
   }
 
-  /** Whether it is about to leave, or gets nothing since its zone is evacuated. */
+  /** Whether it is shutting down or its zone is evacuated. */
   get isLeaving(): boolean {
     return this.entry.isDraining || this.evacuatedSince !== null;
   }
 
-  /** Its zone is evacuated, or no longer; it may have become cold meanwhile. */
+  /** Sets whether its zone is evacuated. After an evacuation it may be cold, since it may
+   * have restarted in the meantime. */
   evacuate(isEvacuated: boolean, now: number): void {
     if (isEvacuated) {
       this.evacuatedSince ??= now;
     } else if (this.evacuatedSince !== null) {
       this.evacuatedSince = null;
-      this.#maybeColdAt = now;
+      this.#mayBeColdSince = now;
     }
   }
 
-  /** Whether it bears few requests: by its own word, or since it may have started
-   * anew, which its entry tells late; a cold one is so for `duration` ms. */
+  /** Whether it can handle only few requests: its entry says so, or it may have restarted
+   * recently, which its entry shows late. A restarted one is cold for `duration` ms. */
   isCold(now: number, duration: number): boolean {
-    return this.#isGone || now < this.#coldUntil ||
-      now < this.#maybeColdAt + duration;
+    return this.#isConnectionRefused || now < this.#coldUntil ||
+      now < this.#mayBeColdSince + duration;
   }
 
-  /** Whether it is cold by its own word. */
+  /** Whether it is cold according to its entry. */
   isWarming(now: number): boolean {
     return now < this.#coldUntil;
   }
 
-  /** Nothing listened at its address. */
+  /** Records that a connection to its address was refused. */
   gone(): void {
-    this.#isGone = true;
+    this.#isConnectionRefused = true;
   }
 
-  /** A request was sent to it. */
+  /** Records that a request was sent to it. */
   started(attempt: number, now: number): void {
     this.inFlight += 1;
     this.#startedAt.set(attempt, now);
   }
 
-  /** Whether it has a request that was sent to this run of it. */
+  /** Whether an attempt at this incarnation is in flight. */
   has(attempt: number): boolean {
     return this.#startedAt.has(attempt);
   }
 
-  /** A request left it without an outcome that says something of it. */
+  /** Records the end of an attempt whose outcome says nothing about the server. */
   cancelled(attempt: number): void {
-    this.#end(attempt);
+    this.#endAttempt(attempt);
   }
 
-  /** It answered a request that it had run. */
+  /** Records the response to a request that it ran. */
   answered(attempt: number, now: number, load: ReportedLoad | null): void {
-    const startedAt = this.#end(attempt);
+    const startedAt = this.#endAttempt(attempt);
     if (startedAt === null) return;
-    this.#heard(now, load);
-    this.#failures = 0;
-    this.#acceptance = mix(this.#acceptance, 1);
+    this.#recordResponse(now, load);
+    this.#consecutiveFailures = 0;
+    this.#acceptanceRate = movingAverage(this.#acceptanceRate, 1);
     if (load !== null && load.waiting > 0 && this.#latency !== null) return;
     const sample = now - startedAt;
     this.#sampleSum += sample;
     this.#sampleCount += 1;
-    this.#measure({ mean: sample, count: 1 });
+    this.#updateLatency({ mean: sample, count: 1 });
   }
 
-  /** Takes in what another VM has measured of its answers. */
+  /** Adds latency samples that another VM measured. */
   observe(samples: LatencySamples, now: number): void {
     this.aliveAt = now;
-    if (samples.load !== undefined) this.hearLoad(samples.load, now);
-    if (samples.count > 0) this.#measure(samples);
+    if (samples.load !== undefined) this.applyLoadReport(samples.load, now);
+    if (samples.count > 0) this.#updateLatency(samples);
   }
 
-  /** Some VM was told its load. */
-  hearLoad({ requests, age }: StatedLoad, now: number): void {
-    if (now - age <= this.#statedAt) return;
-    this.#statedRequests = requests;
-    this.#statedAt = now - age;
+  /** Applies a load report that any VM received, unless it is older than the latest. */
+  applyLoadReport({ requests, age }: LoadReport, now: number): void {
+    if (now - age <= this.#reportedAt) return;
+    this.#reportedRequests = requests;
+    this.#reportedAt = now - age;
   }
 
-  /** The load that it last stated to any VM; null when that was long ago. */
-  statedLoad(now: number): StatedLoad | null {
-    const age = now - this.#statedAt;
-    if (age > STATED_LIFETIME) return null;
-    return { requests: this.#statedRequests, age };
+  /** The latest load report that any VM received; null if it has expired. */
+  statedLoad(now: number): LoadReport | null {
+    const age = now - this.#reportedAt;
+    if (age > LOAD_REPORT_LIFETIME) return null;
+    return { requests: this.#reportedRequests, age };
   }
 
-  #measure({ mean, count }: LatencySamples): void {
+  #updateLatency({ mean, count }: LatencySamples): void {
     const weight = 1 - (1 - SAMPLE_WEIGHT) ** count;
     this.#latency = this.#latency === null
       ? mean
       : this.#latency + weight * (mean - this.#latency);
   }
 
-  /** This VM's own samples since this was asked last; null without an answer. */
+  /** Returns this VM's samples since the last call; null without a response. */
   takeSamples(now: number): LatencySamples | null {
-    if (!this.#hasAnswered) return null;
-    this.#hasAnswered = false;
+    if (!this.#hasResponded) return null;
+    this.#hasResponded = false;
     const count = this.#sampleCount;
     const mean = count === 0 ? 0 : this.#sampleSum / count;
     this.#sampleSum = 0;
     this.#sampleCount = 0;
-    // What it stated to others comes from them.
-    const isOwn = this.#statedAt === this.#loadAt;
-    const load = isOwn ? this.statedLoad(now) : null;
+    // Load reports to other VMs are distributed by those VMs.
+    const isOwnLatest = this.#reportedAt === this.#ownReportAt;
+    const load = isOwnLatest ? this.statedLoad(now) : null;
     return load === null ? { mean, count } : { mean, count, load };
   }
 
-  /** It refused a request, or answered it with a failure. */
+  /** Records that it refused a request or responded with a failure. */
   refused(attempt: number, now: number, load: ReportedLoad | null): void {
-    if (this.#end(attempt) === null) return;
-    this.#heard(now, load);
+    if (this.#endAttempt(attempt) === null) return;
+    this.#recordResponse(now, load);
     this.refusedAt = now;
-    this.#acceptance = mix(this.#acceptance, 0);
+    this.#acceptanceRate = movingAverage(this.#acceptanceRate, 0);
   }
 
-  /** A request to it failed: no answer, or one that cannot be used. */
+  /** Records a failed request: no response, or an invalid one. */
   failed(attempt: number, now: number): void {
-    if (this.#end(attempt) === null) return;
-    this.#acceptance = mix(this.#acceptance, 0);
-    this.#failures += 1;
-    if (this.#failures < FAILURES_TO_PAUSE) return;
-    const doublings = this.#failures - FAILURES_TO_PAUSE;
+    if (this.#endAttempt(attempt) === null) return;
+    this.#acceptanceRate = movingAverage(this.#acceptanceRate, 0);
+    this.#consecutiveFailures += 1;
+    if (this.#consecutiveFailures < FAILURES_TO_PAUSE) return;
+    const doublings = this.#consecutiveFailures - FAILURES_TO_PAUSE;
     this.#pausedUntil = now +
-      Math.min(LONGEST_PAUSE, FIRST_PAUSE * 2 ** doublings);
+      Math.min(MAXIMUM_PAUSE, INITIAL_PAUSE * 2 ** doublings);
   }
 
-  /** Whether it should be spared after failures. */
+  /** Whether it should receive no requests for now after consecutive failures. */
   isPaused(now: number): boolean {
     return now < this.#pausedUntil;
   }
 
   /**
-   * Whether a request has waited for much longer than `usualLatency` while
-   * nothing else came from the server: it is dark, frozen or very slow.
+   * Whether a request has been in flight for much longer than `meanLatency` without any
+   * response from the server since: it is unreachable, hung or very slow.
    */
-  isSilent(now: number, usualLatency: number): boolean {
-    const limit = Math.max(SHORTEST_SILENCE, usualLatency * SILENCE_FACTOR);
+  isSilent(now: number, meanLatency: number): boolean {
+    const limit = Math.max(
+      MINIMUM_UNRESPONSIVE_TIME,
+      meanLatency * UNRESPONSIVE_LATENCY_FACTOR,
+    );
     for (const startedAt of this.#startedAt.values()) {
-      return now - startedAt > limit && this.#lastAnswerAt < startedAt;
+      return now - startedAt > limit && this.#lastResponseAt < startedAt;
     }
     return false;
   }
 
-  /** Whether it has stated its load within the time that such a word holds. */
+  /** Whether it has reported its load to this VM recently. */
   isLoadKnown(now: number): boolean {
-    return now - this.#loadAt <= LOAD_LIFETIME;
+    return now - this.#ownReportAt <= LOAD_DECAY_TIME;
   }
 
-  /** Requests that it probably has, of this VM and of others. */
+  /** Estimated number of its requests from all VMs. */
   load(now: number): number {
-    const age = Math.max(0, now - this.#loadAt);
-    const others = this.#othersLoad * Math.exp(-age / LOAD_LIFETIME);
-    return Math.max(this.inFlight + others, this.#backlog(now));
+    const age = Math.max(0, now - this.#ownReportAt);
+    const others = this.#othersLoad * Math.exp(-age / LOAD_DECAY_TIME);
+    return Math.max(this.inFlight + others, this.#remainingReportedLoad(now));
   }
 
-  /** Requests that it still has of those that it stated to another VM, if it has
-   * worked on them since and all VMs have left it alone, as they do a full one. */
-  #backlog(now: number): number {
-    const age = now - this.#statedAt;
-    const isOwn = this.#statedAt <= this.#loadAt;
-    if (isOwn || age > STATED_LIFETIME || this.#latency === null) return 0;
-    return this.#statedRequests - age * this.entry.slots / this.#latency;
+  /** Number of requests that remain of its latest load report to another VM, assuming that
+   * it has processed them since and received no new ones, as VMs avoid a full server. */
+  #remainingReportedLoad(now: number): number {
+    const age = now - this.#reportedAt;
+    const isOwn = this.#reportedAt <= this.#ownReportAt;
+    if (isOwn || age > LOAD_REPORT_LIFETIME || this.#latency === null) return 0;
+    return this.#reportedRequests - age * this.entry.slots / this.#latency;
   }
 
   /**
-   * Expected time to an answer in milliseconds for one more request, longer for
-   * a server that refuses a share of them.
+   * Expected response time in milliseconds for one more request, increased for a server
+   * that refuses a share of its requests.
    */
-  cost(now: number, usualLatency: number): number {
-    const latency = this.#latency ?? usualLatency;
+  cost(now: number, meanLatency: number): number {
+    const latency = this.#latency ?? meanLatency;
     const pressure = Math.max(1, (this.load(now) + 1) / this.entry.slots);
-    return latency * pressure / Math.max(LOWEST_ACCEPTANCE, this.#acceptance);
+    return latency * pressure /
+      Math.max(MINIMUM_ACCEPTANCE_RATE, this.#acceptanceRate);
   }
 
-  #heard(now: number, load: ReportedLoad | null): void {
-    this.#lastAnswerAt = now;
+  #recordResponse(now: number, load: ReportedLoad | null): void {
+    this.#lastResponseAt = now;
     this.aliveAt = now;
-    if (this.#isGone) this.#maybeColdAt = now;
-    this.#isGone = false;
-    this.#hasAnswered = true;
+    if (this.#isConnectionRefused) this.#mayBeColdSince = now;
+    this.#isConnectionRefused = false;
+    this.#hasResponded = true;
     if (load === null) return;
     this.#othersLoad = Math.max(
       0,
       load.running + load.waiting - this.inFlight,
     );
-    this.#loadAt = now;
-    this.#statedRequests = load.running + load.waiting;
-    this.#statedAt = now;
+    this.#ownReportAt = now;
+    this.#reportedRequests = load.running + load.waiting;
+    this.#reportedAt = now;
   }
 
-  /** When an attempt that has ended began; null when it was not begun here. */
-  #end(attempt: number): number | null {
+  /** Ends an attempt; returns when it was started, or null if not on this instance. */
+  #endAttempt(attempt: number): number | null {
     const startedAt = this.#startedAt.get(attempt);
     if (startedAt === undefined) return null;
     this.#startedAt.delete(attempt);
@@ -310,6 +321,6 @@
   }
 }
 
-function mix(average: number, sample: number): number {
+function movingAverage(average: number, sample: number): number {
   return average + SAMPLE_WEIGHT * (sample - average);
 }
