--- a/src/core/fleet/fleet.ts
+++ b/src/core/fleet/fleet.ts
@@ -74,7 +74,7 @@
     string,
     { latency: number; until: number }
   >();
-  #registryRestoredAt = -Infinity;
+  #registryRecoveredAt = -Infinity;
 
   private constructor() {}
 
@@ -85,7 +85,7 @@
 
   /** Records that the registry is available again after an outage. */
   regained(now: number): void {
-    this.#registryRestoredAt = now;
+    this.#registryRecoveredAt = now;
   }
 
   /** Applies evacuations that started or ended. */
@@ -307,7 +307,7 @@
   }
 
   #removeOrDefer(id: string, now: number, changes: FleetChange[]): void {
-    const until = this.#registryRestoredAt + REWRITE_TIME;
+    const until = this.#registryRecoveredAt + REWRITE_TIME;
     if (until <= now) return this.#remove(id, changes);
     if (this.#servers.has(id)) this.#deferredRemovals.set(id, until);
   }
--- a/src/core/registry/registry_news.ts
+++ b/src/core/registry/registry_news.ts
@@ -1,5 +1,6 @@
 /**
- * What one VM tells another of the registry, so that not every VM reads it.
+ * Changes to the registry that one VM sends to another, so that not every VM has to read
+ * the registry.
  *
  * @module
  */
@@ -10,16 +11,16 @@
 
 /** Schema of {@linkcode RegistryNews}. */
 export const registryNewsSchema = z.object({
-  /** The changes are all that came after this position. */
+  /** Position after which the changes begin; they are complete. */
   since: position,
-  /** Position that they lead to. */
+  /** Position of the registry after the changes. */
   position,
   entries: z.array(backendServerSchema),
   removed: z.array(z.string()),
-  /** Servers whose entry cannot be read any more. */
+  /** Ids of servers whose entry became unreadable. */
   unreadable: z.array(z.string()).default([]),
-  /** When the registry stood so at the latest, by the clock of the VM that is
-   * told, in milliseconds; null where that VM did not ask. */
+  /** Latest time at which the registry is known to be at `position`, in milliseconds of
+   * the receiver's clock; null if the receiver did not request the changes. */
   knownAt: z.number().nullable(),
 });
 
--- a/src/core/registry/registry_read.ts
+++ b/src/core/registry/registry_read.ts
@@ -1,27 +1,27 @@
 /**
- * What a read of the registry brought.
+ * The request for a read of the registry of backend servers, and its result.
  *
  * @module
  */
 import type { BackendServer } from "../fleet/index.ts";
 
-/** See the module's comment. */
+/** The result of a read of the registry. */
 export interface RegistryRead {
-  /** New and changed entries, or all. */
+  /** New and changed entries, or all entries. */
   entries: BackendServer[];
-  /** Ids whose entries were removed. */
+  /** Ids of servers whose entries were removed. */
   removed: string[];
-  /** Ids whose entries cannot be read; what else such a server is, is not
-   * known. */
+  /** Ids of servers whose entries cannot be decoded; nothing else is known of them. */
   unreadable: string[];
-  /** Whether `entries` is the whole list. */
+  /** Whether `entries` is the complete list rather than the changes. */
   isWhole: boolean;
-  /** Where the registry ended, to read on from. */
+  /** Position at the end of the registry, from which the next read continues. */
   position: number;
 }
 
-/** Asks for a read from a position on, or of the whole list (null). */
+/** Requests a read of the registry. */
 export interface RegistryFetch {
   kind: "servers.fetch";
+  /** Position after which changes are read; null for the complete list. */
   from: number | null;
 }
--- a/src/core/registry/registry_replica.ts
+++ b/src/core/registry/registry_replica.ts
@@ -1,18 +1,20 @@
 /**
- * How far this VM knows the registry of backend servers, and from when.
+ * This VM's replica of the registry of backend servers, with its position and age.
  *
- * The term holder reads the registry often and tells the others what has
- * changed. Another VM reads it only when it has no word that is young enough:
- * with eight VMs that is a quarter of the calls to the store, and with more the
- * number of reads no longer grows with them. Positions decide what follows on
- * what, so news that are late, doubled or out of order do no harm. They also
- * order the runs of a server: the one that is listed later is the newer, since
- * the clock that dates an incarnation may step back.
+ * The term holder reads the registry often and sends the changes to the other VMs, the
+ * followers. A follower reads the registry only when its replica is older than allowed.
+ * With eight VMs, a quarter of the calls to the store remain, and with more VMs the
+ * number of reads no longer grows.
+ *
+ * Each update carries the position that it starts from, so delayed, duplicated and
+ * reordered updates do no harm. Positions also order the incarnations of a server: the
+ * one that is listed later is the newer, since the clock that an incarnation is taken
+ * from may step back.
  *
  * ```ts
  * replica.read(read, sentAt);
- * const news = replica.news(follower.position, null); // at the holder
- * const changes = replica.take(news); // at a follower
+ * const update = replica.news(follower.position, null); // at the term holder
+ * const changes = replica.take(update); // at a follower
  * ```
  *
  * @module
@@ -21,12 +23,11 @@
 import type { RegistryNews } from "./registry_news.ts";
 import type { RegistryFetch, RegistryRead } from "./registry_read.ts";
 
-/** Pause after a read that failed, in milliseconds. */
+/** Pause after a failed read, in milliseconds. */
 const RETRY_PAUSE = 250;
-/** Positions that are kept as places from which others can be told what has
- * changed: half a minute of the holder's reads. One that is further behind
- * reads the registry itself. */
-const MAXIMUM_BOUNDARIES = 64;
+/** Maximum number of versions from which an update can be computed: half a minute of the
+ * term holder's reads. A follower that is further behind reads the registry itself. */
+const MAXIMUM_VERSIONS = 64;
 
 const NO_CHANGES: RegistryChanges = {
   entries: [],
@@ -34,52 +35,53 @@
   unreadable: [],
 };
 
-/** A position at which this VM knew the whole registry. */
-interface Boundary {
+/** A position at which this VM knew the whole registry, with the changes since the
+ * version before. */
+interface Version {
   position: number;
-  /** Servers of which something was written since the boundary before, also
-   * where it came to nothing: a VM that stands in between may have seen it. Null
-   * where that is not known. */
-  touched: readonly string[] | null;
-  /** Those of them whose entry differs from the boundary before. */
+  /** Ids of servers whose entry was written since the version before, even if it ended
+   * up unchanged: a VM at a position in between may have read another entry. Null if
+   * they are not known. */
+  written: readonly string[] | null;
+  /** Ids of servers whose entry differs from the version before. */
   changed: readonly string[];
 }
 
-/** What news or a read change in the list of servers. */
+/** Changes to the list of servers. */
 export interface RegistryChanges {
   entries: BackendServer[];
   removed: string[];
-  /** Servers whose entry cannot be read any more. */
+  /** Ids of servers whose entry became unreadable. */
   unreadable: string[];
 }
 
-/** See the module's comment. Times are those of this VM's clock. */
+/** See the module's comment. Times are milliseconds of this VM's clock. */
 export class RegistryReplica {
   #position: number | null = null;
   #knownAt = -Infinity;
   #isReading = false;
   #retryAt = -Infinity;
   readonly #servers = new Map<string, BackendServer>();
-  /** By id: the position at which the run that is listed was first known. */
-  readonly #runSince = new Map<string, number>();
-  /** Servers that were listed, and whose newest entry cannot be read. */
+  /** Position at which a server's listed incarnation was first known, by its id. */
+  readonly #incarnationSince = new Map<string, number>();
+  /** Ids of servers that were listed and whose newest entry is unreadable. */
   readonly #unreadable = new Set<string>();
-  /** Oldest first; the last is where this VM stands. */
-  #boundaries: Boundary[] = [];
+  /** Oldest first; the last one is the current version. */
+  #versions: Version[] = [];
 
   private constructor() {}
 
-  /** A replica that knows nothing. */
+  /** An empty replica without a position. */
   static create(): RegistryReplica {
     return new RegistryReplica();
   }
 
-  /** Position up to which the registry is known, or null. */
+  /** Position of the replica in the registry, or null before the first read. */
   get position(): number | null {
     return this.#position;
   }
 
-  /** Time at which the registry is known to have stood as here. */
+  /** Latest time at which the replica is known to have been up to date. */
   get knownAt(): number {
     return this.#knownAt;
   }
@@ -89,28 +91,28 @@
     return this.#servers.has(id);
   }
 
-  /** Position from which on the run of a server that is listed now is known;
-   * what a VM at an older position says of the server may be of another run. 0
-   * for a server that is not listed. */
+  /** Position at which a server's listed incarnation was first known; 0 if the server is
+   * not listed. A report on the server from a VM at an older position may be about
+   * another incarnation. */
   runSince(id: string): number {
-    return this.#runSince.get(id) ?? 0;
+    return this.#incarnationSince.get(id) ?? 0;
   }
 
-  /** When the next read is due if nothing older than `maximumAge` will do. */
+  /** When the next read is due if the replica may be `maximumAge` old. */
   dueAt(maximumAge: number): number {
     if (this.#isReading) return Infinity;
     return Math.max(this.#knownAt + maximumAge, this.#retryAt);
   }
 
-  /** Asks for a read if one is due. */
+  /** Requests a read if one is due. */
   fetch(now: number, maximumAge: number): RegistryFetch | null {
     if (now < this.dueAt(maximumAge)) return null;
     this.#isReading = true;
     return { kind: "servers.fetch", from: this.#position };
   }
 
-  /** Takes a read that was sent at `sentAt`; false when news have overtaken it,
-   * so that what it says is older than what is known. */
+  /** Applies the result of a read that was sent at `sentAt`. Returns false if it is older
+   * than the replica because an update arrived in the meantime. */
   read(read: RegistryRead, sentAt: number): boolean {
     this.#isReading = false;
     this.#knownAt = Math.max(this.#knownAt, sentAt);
@@ -125,27 +127,28 @@
     return true;
   }
 
-  /** A read failed; with `isExpired` its records are no longer kept. */
+  /** Records a failed read; `isExpired` if the registry no longer keeps the changes since
+   * the position, so that the next read has to be complete. */
   failed(isExpired: boolean, now: number): void {
     this.#isReading = false;
     this.#retryAt = now + RETRY_PAUSE;
     if (isExpired) this.#position = null;
   }
 
-  /** Takes news; null when they do not follow on what is known here. */
-  take(news: RegistryNews): RegistryChanges | null {
-    if (this.#position === null || news.since > this.#position) return null;
-    if (news.knownAt !== null) {
-      this.#knownAt = Math.max(this.#knownAt, news.knownAt);
+  /** Applies an update; returns null if it starts after the replica's position. */
+  take(update: RegistryNews): RegistryChanges | null {
+    if (this.#position === null || update.since > this.#position) return null;
+    if (update.knownAt !== null) {
+      this.#knownAt = Math.max(this.#knownAt, update.knownAt);
     }
-    if (news.position <= this.#position) return NO_CHANGES;
-    this.#advance(news, news.position, null);
-    return news;
+    if (update.position <= this.#position) return NO_CHANGES;
+    this.#advance(update, update.position, null);
+    return update;
   }
 
   /**
-   * What has changed since a position, for a VM by whose clock this VM's
-   * knowledge is from `knownAt`; null when that is not known here.
+   * Returns the changes since a position, or null if they are not known. `knownAt` is
+   * {@linkcode RegistryReplica.knownAt} of this replica by the receiver's clock.
    */
   news(since: number, knownAt: number | null): RegistryNews | null {
     const position = this.#position;
@@ -165,14 +168,14 @@
   }
 
   #changedSince(since: number): Set<string> | null {
-    const boundaries = this.#boundaries;
-    const next = boundaries.findIndex(({ position }) => position >= since);
+    const versions = this.#versions;
+    const next = versions.findIndex(({ position }) => position >= since);
     if (next < 0) return new Set();
-    const { position, touched } = boundaries[next];
-    const isBetween = position > since;
-    if (isBetween && (next === 0 || touched === null)) return null;
-    const ids = new Set(isBetween ? touched : []);
-    for (const { changed } of boundaries.slice(next + 1)) {
+    const { position, written } = versions[next];
+    const isBetweenVersions = position > since;
+    if (isBetweenVersions && (next === 0 || written === null)) return null;
+    const ids = new Set(isBetweenVersions ? written : []);
+    for (const { changed } of versions.slice(next + 1)) {
       for (const id of changed) ids.add(id);
     }
     return ids;
@@ -180,23 +183,23 @@
 
   #reset({ entries, unreadable, position }: RegistryRead): void {
     const listed = new Set(entries.map(({ id }) => id));
-    const doubted = new Set(unreadable);
+    const nowUnreadable = new Set(unreadable);
     for (const id of this.#unreadable) {
-      if (!doubted.has(id)) this.#unreadable.delete(id);
+      if (!nowUnreadable.has(id)) this.#unreadable.delete(id);
     }
-    for (const id of doubted) this.#doubt(id);
+    for (const id of nowUnreadable) this.#markUnreadable(id);
     for (const id of this.#servers.keys()) {
       if (!listed.has(id)) this.#delete(id);
     }
     for (const entry of entries) this.#put(entry, position);
-    this.#boundaries = [{ position, touched: null, changed: [] }];
+    this.#versions = [{ position, written: null, changed: [] }];
     this.#position = position;
   }
 
   #advance(
     { entries, removed, unreadable }: RegistryChanges,
     position: number,
-    touched: readonly string[] | null,
+    written: readonly string[] | null,
   ): void {
     if (position === this.#position) return;
     const changed = [
@@ -204,45 +207,45 @@
         id
       ),
       ...removed.filter((id) => this.#delete(id)),
-      ...unreadable.filter((id) => this.#doubt(id)),
+      ...unreadable.filter((id) => this.#markUnreadable(id)),
     ];
-    this.#boundaries.push({ position, touched, changed });
-    if (this.#boundaries.length > MAXIMUM_BOUNDARIES) this.#boundaries.shift();
+    this.#versions.push({ position, written, changed });
+    if (this.#versions.length > MAXIMUM_VERSIONS) this.#versions.shift();
     this.#position = position;
   }
 
-  /** Keeps an entry; false when it says nothing new. */
+  /** Stores an entry; returns whether it changed. */
   #put(entry: BackendServer, position: number): boolean {
     const known = this.#servers.get(entry.id);
     this.#servers.set(entry.id, entry);
     this.#unreadable.delete(entry.id);
     if (known?.incarnation !== entry.incarnation) {
-      this.#runSince.set(entry.id, position);
+      this.#incarnationSince.set(entry.id, position);
     }
-    return known === undefined || !isSame(known, entry);
+    return known === undefined || !isEquivalent(known, entry);
   }
 
-  /** Forgets a server; false when none is known. */
+  /** Removes a server; returns whether it was known. */
   #delete(id: string): boolean {
-    this.#runSince.delete(id);
+    this.#incarnationSince.delete(id);
     const wasUnreadable = this.#unreadable.delete(id);
     return this.#servers.delete(id) || wasUnreadable;
   }
 
-  /** The entry of a server cannot be read any more; false when none is listed.
-   * Ids that never were are not kept, however many are written. */
-  #doubt(id: string): boolean {
+  /** Marks a listed server's entry as unreadable; returns whether it was listed. Other
+   * ids are ignored, which limits memory however many are written. */
+  #markUnreadable(id: string): boolean {
     if (!this.#servers.delete(id)) return false;
-    this.#runSince.delete(id);
+    this.#incarnationSince.delete(id);
     this.#unreadable.add(id);
     return true;
   }
 }
 
-/** Whether an entry says the same as the one before it. How long a server stays slow
- * decreases with every heartbeat and is told once; a server that says longer than
- * before has become slow again. */
-function isSame(a: BackendServer, b: BackendServer): boolean {
+/** Whether an entry `b` is equivalent to the entry `a` before it. The remaining warm-up
+ * time decreases with every heartbeat and is sent once; if it increases, the server has
+ * become cold again. */
+function isEquivalent(a: BackendServer, b: BackendServer): boolean {
   return b.warmUp <= a.warmUp &&
     a.incarnation === b.incarnation && a.service === b.service &&
     a.address === b.address &&
--- a/src/core/registry/registry_replica_test.ts
+++ b/src/core/registry/registry_replica_test.ts
@@ -32,14 +32,14 @@
   return { entries, removed, unreadable, isWhole, position };
 }
 
-/** A replica that read `servers` as the whole registry at time 0. */
+/** A replica that read `servers` as the complete registry at time 0. */
 function replicaOf(position: number, servers: BackendServer[]) {
   const replica = RegistryReplica.create();
   replica.read(read(position, servers, [], true), 0);
   return replica;
 }
 
-test("registry: a server that starts again under its id is news", (t) => {
+test("registry: an update contains a restarted server", (t) => {
   const reader = RegistryReplica.create();
   reader.read(read(10, [server("a")], [], true), 0);
   const restarted = server("a", false, 5);
@@ -47,29 +47,29 @@
   t.deepEqual(reader.news(10, null)?.entries, [restarted]);
 });
 
-test("registry: news bring a follower to where the reader is", (t) => {
+test("registry: an update brings a follower to the reader's position", (t) => {
   const reader = replicaOf(10, [server("a"), server("b")]);
   const follower = replicaOf(10, [server("a"), server("b")]);
   reader.read(read(14, [server("a", true), server("c")], ["b"]), 450);
-  const news = reader.news(follower.position!, 430)!;
-  t.snapshot({ news, taken: follower.take(news) });
+  const update = reader.news(follower.position!, 430)!;
+  t.snapshot({ news: update, taken: follower.take(update) });
   t.is(follower.position, 14);
   t.is(follower.knownAt, 430);
 });
 
-test("registry: heartbeats are no news", (t) => {
+test("registry: an update omits heartbeats", (t) => {
   const cold = { ...server("a"), warmUp: 1_800 };
   const reader = replicaOf(10, [cold]);
   reader.read(read(11, [{ ...cold, warmUp: 900 }]), 450);
   reader.read(read(12, [{ ...cold, warmUp: 0 }]), 450);
-  const news = reader.news(10, 440)!;
-  t.deepEqual(news.entries, []);
+  const update = reader.news(10, 440)!;
+  t.deepEqual(update.entries, []);
   const follower = replicaOf(10, [cold]);
-  t.deepEqual(follower.take(news)?.entries, []);
+  t.deepEqual(follower.take(update)?.entries, []);
   t.is(follower.position, 12);
 });
 
-test("registry: a server that becomes cold again is news", (t) => {
+test("registry: an update contains a server that becomes cold again", (t) => {
   const cold = { ...server("a"), warmUp: 1_800 };
   const reader = replicaOf(10, [cold]);
   reader.read(read(11, [{ ...cold, warmUp: 100 }]), 450);
@@ -77,7 +77,7 @@
   t.deepEqual(reader.news(10, 440)!.entries, [{ ...cold, warmUp: 1_700 }]);
 });
 
-test("registry: news that do not follow on are not taken", (t) => {
+test("registry: rejects an update that starts after the replica's position", (t) => {
   const reader = replicaOf(10, [server("a")]);
   const behind = replicaOf(8, []);
   t.is(reader.news(behind.position!, 1), null);
@@ -87,7 +87,7 @@
   t.is(RegistryReplica.create().take(reader.news(10, 440)!), null);
 });
 
-test("registry: it is read when no word is young enough, and again after a failure", (t) => {
+test("registry: is read when the replica is too old, and again after a failure", (t) => {
   const replica = RegistryReplica.create();
   t.deepEqual(replica.fetch(0, 1_200), { kind: "servers.fetch", from: null });
   t.is(replica.fetch(1, 1_200), null);
@@ -104,10 +104,10 @@
   t.is(replica.fetch(2_550, 1_200)?.from, null);
 });
 
-test("registry: a read that news have overtaken brings nothing back", (t) => {
+test("registry: ignores a read that is older than an applied update", (t) => {
   const follower = replicaOf(10, [server("a")]);
   const reader = replicaOf(10, [server("a")]);
-  // The read is answered before the removal is written, and arrives after it.
+  // The read is served before the removal is written, and arrives after the update.
   const late = read(11, [server("a", true)]);
   reader.read(read(12, [], ["a"]), 100);
   follower.take(reader.news(10, 90)!);
@@ -117,26 +117,26 @@
   t.true(follower.read(read(13, []), 200));
 });
 
-test("registry: what lapsed and came back between two reads is told to one that saw it gone", (t) => {
+test("registry: an update contains an entry that was removed and rewritten unchanged", (t) => {
   const reader = replicaOf(10, [server("a"), server("b")]);
   const follower = replicaOf(10, [server("a"), server("b")]);
   follower.read(read(11, [], ["a"]), 100);
-  // The reader sees only that an entry was written again as it was.
+  // The follower read the removal; the reader only reads that the entry was rewritten.
   reader.read(read(12, [server("a")]), 200);
   t.deepEqual(reader.news(10, 1)?.entries, []);
-  const news = reader.news(follower.position!, 190)!;
-  t.deepEqual(follower.take(news)?.entries, [server("a")]);
+  const update = reader.news(follower.position!, 190)!;
+  t.deepEqual(follower.take(update)?.entries, [server("a")]);
 });
 
-test("registry: the older run does not come back by what is late", (t) => {
+test("registry: delayed updates and reads do not restore an older incarnation", (t) => {
   const older = server("a", false, 100);
   const newer = server("a", false, 200);
   const reader = replicaOf(10, [older]);
   const follower = replicaOf(10, [older]);
-  const lateNews = reader.news(10, 90)!;
+  const lateUpdate = reader.news(10, 90)!;
   reader.read(read(12, [newer]), 100);
   t.deepEqual(follower.take(reader.news(10, 90)!)?.entries, [newer]);
-  t.deepEqual(follower.take(lateNews)?.entries, []);
+  t.deepEqual(follower.take(lateUpdate)?.entries, []);
   t.false(follower.read(read(11, [older]), 80));
   t.false(follower.read(read(11, [older], [], true), 80));
   for (const each of [reader, follower]) {
@@ -144,14 +144,14 @@
   }
 });
 
-test("registry: of two runs the one that is listed later counts, also when its clock stepped back", (t) => {
+test("registry: the incarnation that is listed later is the newer, even if the clock stepped back", (t) => {
   const reader = replicaOf(10, [server("a", false, 200)]);
   const newer = server("a", false, 100);
   reader.read(read(11, [newer]), 100);
   t.deepEqual(reader.news(10, null)?.entries, [newer]);
 });
 
-test("registry: it is known from which position on a run is listed", (t) => {
+test("registry: knows the position at which an incarnation was first listed", (t) => {
   const replica = replicaOf(10, [server("a", false, 100)]);
   replica.read(read(12, [server("a", true, 100), server("b")]), 100);
   t.is(replica.runSince("a"), 10);
@@ -166,20 +166,20 @@
   t.is(replica.runSince("a"), 0);
 });
 
-test("registry: an entry that cannot be read any more is told as such, to whoever stands where", (t) => {
+test("registry: an update names unreadable entries, from whatever position", (t) => {
   const reader = replicaOf(10, [server("a"), server("b")]);
   const follower = replicaOf(10, [server("a"), server("b")]);
   reader.read(read(12, [], [], false, ["a", "never listed"]), 100);
-  const news = reader.news(10, 90)!;
+  const update = reader.news(10, 90)!;
   t.deepEqual(
     {
-      entries: news.entries,
-      removed: news.removed,
-      unreadable: news.unreadable,
+      entries: update.entries,
+      removed: update.removed,
+      unreadable: update.unreadable,
     },
     { entries: [], removed: [], unreadable: ["a"] },
   );
-  t.deepEqual(follower.take(news)?.unreadable, ["a"]);
+  t.deepEqual(follower.take(update)?.unreadable, ["a"]);
   t.deepEqual(follower.news(10, null)?.unreadable, ["a"]);
   reader.read(read(14, [server("a")]), 200);
   t.deepEqual(reader.news(12, 190)?.entries, [server("a")]);
@@ -190,9 +190,8 @@
   t.deepEqual(reader.news(16, 390)?.removed, ["a"]);
 });
 
-/** A list as it stands after changes: of each server the run, and whether it
- * drains. */
-function applied(
+/** Applies changes to a list of incarnation and drain state by server id. */
+function applyTo(
   view: Map<string, string>,
   { entries, removed, unreadable }: RegistryChanges,
 ): void {
@@ -204,18 +203,18 @@
   return `${incarnation} ${isDraining}`;
 }
 
-test("registry: whatever is lost, doubled or late, a follower's list is that of its position", (t) => {
+test("registry: a follower's list matches its position despite lost, duplicate and late updates", (t) => {
   const id = fc.constantFrom("a", "b", "c", "d");
   const action = fc.oneof(
     fc.record({
       kind: fc.constant("write" as const),
       id,
-      state: fc.constantFrom("ready", "draining", "gone", "broken"),
+      state: fc.constantFrom("ready", "draining", "removed", "unreadable"),
       incarnation: fc.nat(2),
     }),
     fc.record({ kind: fc.constant("read" as const) }),
-    fc.record({ kind: fc.constant("own" as const) }),
-    fc.record({ kind: fc.constant("tell" as const) }),
+    fc.record({ kind: fc.constant("read by follower" as const) }),
+    fc.record({ kind: fc.constant("send" as const) }),
     fc.record({ kind: fc.constant("deliver" as const), age: fc.nat(4) }),
   );
   fc.assert(
@@ -224,23 +223,23 @@
       (actions) => {
         const log: {
           id: string;
-          entry: BackendServer | "broken" | null;
+          entry: BackendServer | "unreadable" | null;
         }[] = [];
         const since = (position: number): RegistryRead => {
           const newest = new Map(
             log.slice(position).map(({ id, entry }) => [id, entry]),
           );
-          const idsOf = (kind: "broken" | null) =>
+          const idsOf = (kind: "unreadable" | null) =>
             [...newest].filter(([, entry]) => entry === kind)
               .map(([name]) => name);
           return read(
             log.length,
             [...newest.values()].flatMap((each) =>
-              each === null || each === "broken" ? [] : [each]
+              each === null || each === "unreadable" ? [] : [each]
             ),
             idsOf(null),
             false,
-            idsOf("broken"),
+            idsOf("unreadable"),
           );
         };
         const reader = replicaOf(0, []);
@@ -249,29 +248,29 @@
         const sent: RegistryNews[] = [];
         for (const each of actions) {
           if (each.kind === "write") {
-            const entry = each.state === "gone"
+            const entry = each.state === "removed"
               ? null
-              : each.state === "broken"
-              ? "broken"
+              : each.state === "unreadable"
+              ? "unreadable"
               : server(each.id, each.state === "draining", each.incarnation);
             log.push({ id: each.id, entry });
           } else if (each.kind === "read") {
             reader.read(since(reader.position!), 0);
-          } else if (each.kind === "own") {
+          } else if (each.kind === "read by follower") {
             const own = since(follower.position!);
             follower.read(own, 0);
-            applied(view, own);
-          } else if (each.kind === "tell") {
-            const news = reader.news(follower.position!, 0);
-            if (news !== null) sent.push(news);
+            applyTo(view, own);
+          } else if (each.kind === "send") {
+            const update = reader.news(follower.position!, 0);
+            if (update !== null) sent.push(update);
           } else if (sent.length > 0) {
-            const news = sent[Math.max(0, sent.length - 1 - each.age)];
-            const changes = follower.take(news);
-            if (changes !== null) applied(view, changes);
+            const update = sent[Math.max(0, sent.length - 1 - each.age)];
+            const changes = follower.take(update);
+            if (changes !== null) applyTo(view, changes);
           }
           const expected = new Map<string, string>();
           for (const { id, entry } of log.slice(0, follower.position!)) {
-            if (entry === null || entry === "broken") expected.delete(id);
+            if (entry === null || entry === "unreadable") expected.delete(id);
             else expected.set(id, stateOf(entry));
           }
           const text = (map: Map<string, string>) =>
