--- a/src/core/quarantine/crash_record.ts
+++ b/src/core/quarantine/crash_record.ts
@@ -1,197 +1,210 @@
 /**
- * What is known of one request under which backend servers have ended.
+ * Crash records: for one request, the runs of backend servers (a server's id and
+ * incarnation) that crashed while they processed it.
  *
- * Two copies merge in any order and any number of times to the same record: a run of
- * a server counts once, however many VMs saw it end, and one that is excused stays
- * excused.
+ * Replicas of a record merge to the same result in any order and any number of times,
+ * as in a conflict-free replicated data type: a run counts once, however many VMs
+ * observed its crash, and a run that was excused stays excused.
  *
  * @module
  */
 import * as z from "zod";
 
-/** Longest fingerprint, in characters. */
-const LONGEST_FINGERPRINT = 64;
-/** Longest name of a run of a server, in characters. */
-const LONGEST_RUN = 300;
-/** Runs that a record names at the most; more tell nothing new. */
+/** Maximum length of a fingerprint, in characters. */
+const MAXIMUM_FINGERPRINT_LENGTH = 64;
+/** Maximum length of the name of a server's run, in characters. */
+const MAXIMUM_RUN_LENGTH = 300;
+/** Maximum number of runs in a record; further ones would not change a decision. */
 export const MAXIMUM_RUNS = 16;
-/** Longest target that a record shows, in characters. */
-export const LONGEST_TARGET = 120;
+/** Maximum length of a record's target, in characters. */
+export const MAXIMUM_TARGET_LENGTH = 120;
 
-const runsSchema = z.array(z.string().max(LONGEST_RUN)).max(MAXIMUM_RUNS);
+const runsSchema = z.array(z.string().max(MAXIMUM_RUN_LENGTH)).max(
+  MAXIMUM_RUNS,
+);
 
 /** Schema of {@linkcode CrashRecord}. */
 export const crashRecordSchema = z.object({
   /** Fingerprint of the request. */
-  request: z.string().max(LONGEST_FINGERPRINT),
-  /** Host and path, cut short, for people. */
-  target: z.string().max(LONGEST_TARGET),
-  /** How often it was held back and let through again for a trial. */
+  request: z.string().max(MAXIMUM_FINGERPRINT_LENGTH),
+  /** Host and path, truncated; for operators. */
+  target: z.string().max(MAXIMUM_TARGET_LENGTH),
+  /** How often the request was quarantined and released for a trial. */
   round: z.number().int().nonnegative(),
-  /** Runs of servers that have ended under it, since that. */
+  /** Runs of servers that crashed under it in this round. */
   runs: runsSchema,
-  /** Runs that ended under it and no longer count: since it was answered, since
-   * another request accounts for them, or since it is on trial. */
+  /** Runs that crashed under it and no longer count, because the request was answered,
+   * another request explains the crash, or a trial began. */
   excused: runsSchema,
-  /** Milliseconds since a server ended under it last. */
+  /** Milliseconds since the last crash under it. */
   age: z.number().nonnegative(),
-  /** Whether it is held back by who tells this. */
+  /** Whether the sender of the record has quarantined it. */
   isHeld: z.boolean(),
 });
 
-/** A record as it is told to other VMs. */
+/** A record as it is sent to other VMs. */
 export type CrashRecord = z.infer<typeof crashRecordSchema>;
 
-/** Ends under a request before it is held back: under one and two an innocent one may
- * have been, beside the one that is to blame. */
-const TOLERATED_ENDS = 3;
-/** The same for one that was held back before and is on trial. */
-const TOLERATED_ON_TRIAL = 1;
-/** Time for an answer to a doubtful request to be heard of, in milliseconds: a report
- * to the holder, which may wait for half a second, its word to all, and an answer. */
-const HEARING = 1_000;
-/** Time for which an answer speaks for a request, in milliseconds: about as long as a
- * registry takes to tell of a server's end. */
-const TRUST_TIME = 5_000;
-/** Time for which a request is held back first, in milliseconds; doubles with each
- * trial that ends a server again. So long a service that was mended stays closed
- * to it. */
-const FIRST_HOLD = 120_000;
-const LONGEST_HOLD = 3_600_000;
-/** Time for which anything else is remembered, in milliseconds: repeats that are
- * further apart end a server each time. */
-const MEMORY = 600_000;
-
-/** A record as a VM keeps it. Times are milliseconds of its clock. */
-export interface KnownCrashes {
+/** Number of crashes under a request at which it is quarantined. A harmless request may
+ * run beside the harmful one on one or two servers. */
+const CRASH_LIMIT = 3;
+/** The same number for a request on trial after a quarantine. */
+const TRIAL_CRASH_LIMIT = 1;
+/** Time in which an answer to a request that is near its limit reaches all VMs, in
+ * milliseconds: a report to the term holder, which may be delayed by half a second, the
+ * holder's message to all VMs, and an answer. */
+const ANSWER_PROPAGATION_TIME = 1_000;
+/** Time after an answer in which crashes do not count against a request, in
+ * milliseconds; about the time that a registry takes to report a crash. */
+const ANSWER_LIFETIME = 5_000;
+/** Duration of a request's first quarantine, in milliseconds; doubles with each trial
+ * that crashes a server again. It is also how long the request stays rejected after its
+ * service was fixed. */
+const INITIAL_QUARANTINE = 120_000;
+const MAXIMUM_QUARANTINE = 3_600_000;
+/** Time for which a record of a request that is not quarantined is kept, in
+ * milliseconds. Retries that are further apart crash a server each time. */
+const RECORD_LIFETIME = 600_000;
+
+/** A record as a VM stores it. Times are milliseconds of its clock. */
+export interface RequestCrashes {
   request: string;
   target: string;
   round: number;
   runs: string[];
   excused: string[];
   lastAt: number;
-  /** When a server answered it last, as seen here. */
+  /** When a server last answered it, as observed by this VM. */
   answeredAt: number;
-  /** Since when it is close to being held back, or should be; Infinity before. */
-  doubtfulSince: number;
-  /** Whether it is held back; it then is until {@linkcode heldUntil}. */
+  /** Since when it is at most one crash short of its limit; Infinity if it is not. */
+  nearLimitSince: number;
+  /** Whether it is quarantined, which lasts until {@linkcode quarantinedUntil}. */
   isHeld: boolean;
-  /** Number of the last change to it, in this process. */
+  /** Revision of the last change to it in this process. */
   revision: number;
-  /** The VM that has told just what is known here; null when none is known to have
-   * all of it. */
+  /** Address of the VM that sent exactly this state; null if no VM is known to have all
+   * of it. */
   knownAt: string | null;
 }
 
-/** Whether so many servers have ended under a request that it should be held back. */
-export function isConvicted({ round, runs }: KnownCrashes): boolean {
-  const tolerated = round === 0 ? TOLERATED_ENDS : TOLERATED_ON_TRIAL;
-  return runs.length >= tolerated;
+/** Whether a request has reached the number of crashes at which it is quarantined. */
+export function hasReachedLimit({ round, runs }: RequestCrashes): boolean {
+  const limit = round === 0 ? CRASH_LIMIT : TRIAL_CRASH_LIMIT;
+  return runs.length >= limit;
 }
 
-/** Whether one more end under a request, or none, is enough for that. */
-export function isDoubtful({ round, runs }: KnownCrashes): boolean {
-  return runs.length >= (round === 0 ? TOLERATED_ENDS - 1 : TOLERATED_ON_TRIAL);
+/** Whether a request is at most one crash short of that number. */
+export function isNearLimit({ round, runs }: RequestCrashes): boolean {
+  return runs.length >= (round === 0 ? CRASH_LIMIT - 1 : TRIAL_CRASH_LIMIT);
 }
 
-/** When a convicted request is held back, unless it is answered before: one that
- * many callers make at once may be at work wherever a server ends, and is answered
- * by others meanwhile. All VMs know by then that its answers count. */
-export function heldFrom({ doubtfulSince }: KnownCrashes): number {
-  return doubtfulSince + HEARING;
+/** When a request that has reached its limit is quarantined, unless it is answered
+ * before. A request that many callers send at once may be in progress on any server that
+ * crashes, and other servers answer it in the meantime. By then all VMs know that its
+ * answers count. */
+export function quarantinedFrom({ nearLimitSince }: RequestCrashes): number {
+  return nearLimitSince + ANSWER_PROPAGATION_TIME;
 }
 
-/** How long a request is held back in a round. */
-function holdTime(round: number): number {
-  return Math.min(LONGEST_HOLD, FIRST_HOLD * 2 ** round);
+/** Duration of a quarantine in a round, in milliseconds. */
+function quarantineDuration(round: number): number {
+  return Math.min(MAXIMUM_QUARANTINE, INITIAL_QUARANTINE * 2 ** round);
 }
 
-/** When a request that is held back is let through again for a trial. */
-export function heldUntil({ round, lastAt }: KnownCrashes): number {
-  return lastAt + holdTime(round);
+/** When a quarantined request is released for a trial. */
+export function quarantinedUntil({ round, lastAt }: RequestCrashes): number {
+  return lastAt + quarantineDuration(round);
 }
 
-/** When a record of a request that is not held back is forgotten. */
-export function forgottenAt({ round, lastAt }: KnownCrashes): number {
-  return lastAt + MEMORY + (round === 0 ? 0 : holdTime(round - 1));
+/** When the record of a request that is not quarantined expires. */
+export function expiresAt({ round, lastAt }: RequestCrashes): number {
+  return lastAt + RECORD_LIFETIME +
+    (round === 0 ? 0 : quarantineDuration(round - 1));
 }
 
-/** Whether all VMs should know of a request: that it is held back, or is close to
- * it, or no longer is. One that is answered somewhere is then cleared everywhere. */
-export function isNotable({ round, runs, excused }: KnownCrashes): boolean {
-  return round > 0 || runs.length + excused.length >= TOLERATED_ENDS - 1;
+/** Whether a record is replicated to all VMs: its request is quarantined, near its limit,
+ * or was so before. An answer on any VM then clears it on all VMs. */
+export function isReplicated(
+  { round, runs, excused }: RequestCrashes,
+): boolean {
+  return round > 0 || runs.length + excused.length >= CRASH_LIMIT - 1;
 }
 
-/** Whether a request was answered so lately that an end under it says nothing of it:
- * one that many callers make is at work wherever a server ends. */
-export function isTrusted({ answeredAt }: KnownCrashes, now: number): boolean {
-  return now - answeredAt <= TRUST_TIME;
+/** Whether a request was answered so recently that crashes do not count against it. A
+ * request that many callers send is in progress on any server that crashes. */
+export function isRecentlyAnswered(
+  { answeredAt }: RequestCrashes,
+  now: number,
+): boolean {
+  return now - answeredAt <= ANSWER_LIFETIME;
 }
 
-/** A record of a request under which nothing has ended yet. */
+/** A record without crashes. */
 export function newCrashes(
   request: string,
   target: string,
   round: number,
   lastAt: number,
-): KnownCrashes {
+): RequestCrashes {
   return {
     request,
-    target: target.slice(0, LONGEST_TARGET),
+    target: target.slice(0, MAXIMUM_TARGET_LENGTH),
     round,
     runs: [],
     excused: [],
     lastAt,
     answeredAt: -Infinity,
-    doubtfulSince: Infinity,
+    nearLimitSince: Infinity,
     isHeld: false,
     revision: 0,
     knownAt: null,
   };
 }
 
-/** A request that is held back. */
+/** A quarantined request. */
 export interface Hold {
   request: string;
   target: string;
-  /** Runs of servers that have ended under it. */
+  /** Runs of servers that crashed under it. */
   runs: readonly string[];
-  /** Milliseconds until it is let through for a trial. */
+  /** Milliseconds until it is released for a trial. */
   left: number;
 }
 
-/** Whether one record goes before another when there are too many. */
-export function isBefore(a: KnownCrashes, b: KnownCrashes): boolean {
+/** Whether record `a` is evicted before record `b` if there are too many. */
+export function isEvictedBefore(a: RequestCrashes, b: RequestCrashes): boolean {
   if (a.isHeld !== b.isHeld) return b.isHeld;
   return a.lastAt < b.lastAt;
 }
 
-/** How a request is held back. */
-export function holdOf(crashes: KnownCrashes, now: number): Hold {
+/** Describes a quarantined request. */
+export function holdOf(crashes: RequestCrashes, now: number): Hold {
   const { request, target, runs } = crashes;
-  return { request, target, runs, left: heldUntil(crashes) - now };
+  return { request, target, runs, left: quarantinedUntil(crashes) - now };
 }
 
-/** A record as it is told now. */
-export function toRecord(crashes: KnownCrashes, now: number): CrashRecord {
+/** Converts a record to the form that is sent to other VMs. */
+export function toRecord(crashes: RequestCrashes, now: number): CrashRecord {
   const { request, target, round, runs, excused, lastAt, isHeld } = crashes;
   const age = Math.max(0, now - lastAt);
   return { request, target, round, runs, excused, age, isHeld };
 }
 
-/** Names that are in one list or the other. */
+/** The distinct names in both lists. */
 export function union(a: readonly string[], b: readonly string[]): string[] {
   return [...new Set([...a, ...b])];
 }
 
-/** Whether two lists have the same names. */
-export function isSame(a: readonly string[], b: readonly string[]): boolean {
+/** Whether two lists contain the same names. */
+export function hasSameNames(
+  a: readonly string[],
+  b: readonly string[],
+): boolean {
   return a.length === b.length && a.every((each) => b.includes(each));
 }
 
-/** A number that tells the states of two sets of records apart, whatever their
- * order. */
-export function digestOf(records: readonly KnownCrashes[]): number {
+/** A hash of a set of records that does not depend on their order. */
+export function digestOf(records: readonly RequestCrashes[]): number {
   let digest = 0;
   for (const { request, round, runs, excused } of records) {
     const state = `${request} ${round} ${runs.length} ${excused.length}`;
@@ -200,7 +213,7 @@
   return digest >>> 0;
 }
 
-/** FNV-1a: tells two states apart that are not made to look alike. */
+/** FNV-1a hash, which is not collision-resistant against deliberately chosen inputs. */
 function hash32(text: string): number {
   let hash = 0x811c9dc5;
   for (let i = 0; i < text.length; i++) {
--- a/src/core/quarantine/crash_watch.ts
+++ b/src/core/quarantine/crash_watch.ts
@@ -1,58 +1,59 @@
 /**
- * Finds out which requests were at work on a server when it ended.
+ * Detects server crashes and attributes them to the requests in progress.
  *
- * A connection that breaks says little: servers reset requests when they are full,
- * drop idle connections, lose answers and are cut off. So a request whose attempt broke
- * is only remembered, and accused once its server is known to have ended: nothing
- * listens at its address any more, another run answers there, or the registry says
- * so. A server that was about to leave has ended by itself.
+ * A broken connection alone is no evidence of a crash: servers reset requests when they
+ * are full, close idle connections, lose responses and become unreachable. A request
+ * whose connection broke is therefore recorded, and a crash is attributed to it only
+ * once its server is known to have ended: connections to its address are refused,
+ * another incarnation responds there, or the registry reports it. The end of a draining
+ * server is expected and is not a crash.
  *
- * The registry takes seconds to say it, and nothing at all while the store is out, so
- * the address of a server on which an attempt broke is looked at once.
+ * The registry takes seconds to report the end of a server, and reports nothing during
+ * an outage of the store. The address of a server is therefore probed as soon as a
+ * connection to it breaks.
  *
  * @module
  */
 import type { FleetChange, TrackedServer } from "../fleet/index.ts";
-import { LONGEST_TARGET } from "./crash_record.ts";
+import { MAXIMUM_TARGET_LENGTH } from "./crash_record.ts";
 import type { Quarantine } from "./quarantine.ts";
 
-/** Time for which a broken attempt is remembered, and the end of a run, in
- * milliseconds: a registry takes a silent server's entry out after a few of its
- * heartbeats. */
-const MEMORY = 6_000;
-/** Broken attempts that are remembered for one server at the most. */
-const MAXIMUM_BROKEN = 64;
-/** Servers that are remembered at the most. */
+/** Time for which broken attempts and the end of a run are kept, in milliseconds. A
+ * registry removes a server's entry after a few missed heartbeats. */
+const EVIDENCE_LIFETIME = 6_000;
+/** Maximum number of broken attempts that are kept per server. */
+const MAXIMUM_BROKEN_ATTEMPTS = 64;
+/** Maximum number of servers for which state is kept. */
 const MAXIMUM_SERVERS = 1_024;
-/** Pause between two looks at one server's address, in milliseconds; doubles with each
- * that finds it there, since a look is a connection that the server has to take and
- * one that is full resets many requests. */
-const FIRST_CHECK_PAUSE = 1_000;
-const LONGEST_CHECK_PAUSE = 16_000;
-
-/** Looks whether anything listens at a server's address; answered by
- * `server.checked`. */
+/** Initial and maximum pause between two probes of a server's address, in milliseconds.
+ * It doubles with each probe that succeeds, since a probe is a connection that the
+ * server has to accept, and a server that is full resets many requests. */
+const INITIAL_PROBE_PAUSE = 1_000;
+const MAXIMUM_PROBE_PAUSE = 16_000;
+
+/** Requests a probe whether a server's address accepts connections; its result is the
+ * event `server.checked`. */
 export interface ServerCheck {
   kind: "server.check";
   server: string;
   address: string;
 }
 
-/** A request whose attempt broke; its body is not kept. */
+/** A request whose connection to the server broke, without its body. */
 export interface BrokenRequest {
-  /** The caller's id of it. */
+  /** Request id assigned by the caller. */
   id: string;
   /** Host and path. */
   target: string;
-  /** The whole fingerprint. */
+  /** The complete fingerprint. */
   fingerprint: string;
 }
 
-/** A request that was at work on a server when that ended. */
+/** A request that was in progress on a server when the server crashed. */
 export interface Accusation {
   request: BrokenRequest;
   server: string;
-  /** Whether the end of this server under this request was not known yet. */
+  /** Whether this crash under this request was not known before. */
   isNews: boolean;
 }
 
@@ -61,95 +62,101 @@
   at: number;
 }
 
-/** What is remembered of one run of a server. */
-interface Watched {
+/** State of one run of a server. */
+interface ServerRun {
+  /** The server's id and incarnation. */
   run: string;
-  /** When a sign of its end was seen; null before. */
+  /** When it was observed to have ended, or null. */
   endedAt: number | null;
   broken: BrokenAttempt[];
-  checkedAt: number;
-  checkPause: number;
+  /** When its address was last probed. */
+  probedAt: number;
+  probePause: number;
+  /** When this state was last used. */
   seenAt: number;
 }
 
 /** See the module's comment. Times are milliseconds. */
 export class CrashWatch {
-  /** By the server's id. */
-  readonly #watched = new Map<string, Watched>();
+  /** State by the server's id. */
+  readonly #runs = new Map<string, ServerRun>();
 
   private constructor(
     private readonly quarantine: Quarantine,
-    private readonly accused: (accusation: Accusation) => void,
+    private readonly reportCrash: (accusation: Accusation) => void,
   ) {}
 
-  /** Watches no server; accuses in `quarantine` and tells `accused` of it. */
+  /** Starts without state. Crashes are recorded in `quarantine` and passed to
+   * `reportCrash`. */
   static create(
     quarantine: Quarantine,
-    accused: (accusation: Accusation) => void,
+    reportCrash: (accusation: Accusation) => void,
   ): CrashWatch {
-    return new CrashWatch(quarantine, accused);
+    return new CrashWatch(quarantine, reportCrash);
   }
 
-  /** An attempt of a request broke after it was sent. Returns a look at the server
-   * if one is due. */
+  /** Records that the connection broke after a request was sent. Returns a probe of the
+   * server if one is due. */
   broke(
     server: TrackedServer,
     request: BrokenRequest,
     now: number,
   ): ServerCheck | null {
     if (server.entry.isDraining) return null;
-    const watched = this.#watch(server, now);
-    if (watched.endedAt !== null) {
-      this.#accuse(server.id, watched.run, request, now);
+    const state = this.#currentRun(server, now);
+    if (state.endedAt !== null) {
+      this.#attribute(server.id, state.run, request, now);
       return null;
     }
-    const recent = watched.broken.filter(({ at }) => now - at <= MEMORY);
-    const target = request.target.slice(0, LONGEST_TARGET);
+    const recent = state.broken.filter(({ at }) =>
+      now - at <= EVIDENCE_LIFETIME
+    );
+    const target = request.target.slice(0, MAXIMUM_TARGET_LENGTH);
     const broken = { request: { ...request, target }, at: now };
-    watched.broken = [...recent, broken].slice(-MAXIMUM_BROKEN);
-    if (now - watched.checkedAt < watched.checkPause) return null;
-    watched.checkedAt = now;
+    state.broken = [...recent, broken].slice(-MAXIMUM_BROKEN_ATTEMPTS);
+    if (now - state.probedAt < state.probePause) return null;
+    state.probedAt = now;
     const { address } = server.entry;
     return { kind: "server.check", server: server.id, address };
   }
 
-  /** Nothing listens at a server's address, or another run does. */
+  /** Records that a server refused a connection or was replaced by another incarnation. */
   ended(server: TrackedServer | undefined, now: number): void {
     if (server === undefined || server.entry.isDraining) return;
-    const watched = this.#watch(server, now);
-    watched.endedAt ??= now;
-    this.#accuseAll(server.id, watched, now);
+    const state = this.#currentRun(server, now);
+    state.endedAt ??= now;
+    this.#attributeAll(server.id, state, now);
   }
 
-  /** Something listens at a server's address: it is there, or another run is. */
+  /** Records a successful probe: the server, or another incarnation, is running. */
   found(server: string): void {
-    const watched = this.#watched.get(server);
-    if (watched === undefined) return;
-    const pause = watched.checkPause * 2;
-    watched.checkPause = Math.min(LONGEST_CHECK_PAUSE, pause);
+    const state = this.#runs.get(server);
+    if (state === undefined) return;
+    const pause = state.probePause * 2;
+    state.probePause = Math.min(MAXIMUM_PROBE_PAUSE, pause);
   }
 
-  /** The registry's list of servers has changed. */
+  /** Applies changes to the registry's list of servers. */
   changed(changes: readonly FleetChange[], now: number): void {
     for (const { kind, server } of changes) {
-      const watched = this.#watched.get(server.id);
-      if (watched === undefined) continue;
-      if (kind === "draining") this.#watched.delete(server.id);
+      const state = this.#runs.get(server.id);
+      if (state === undefined) continue;
+      if (kind === "draining") this.#runs.delete(server.id);
       if (kind !== "removed" && kind !== "restarted") continue;
-      if (!server.isDraining) this.#accuseAll(server.id, watched, now);
-      this.#watched.delete(server.id);
+      if (!server.isDraining) this.#attributeAll(server.id, state, now);
+      this.#runs.delete(server.id);
     }
   }
 
-  #accuseAll(server: string, watched: Watched, now: number): void {
-    for (const { request, at } of watched.broken.splice(0)) {
-      if (now - at <= MEMORY) {
-        this.#accuse(server, watched.run, request, now);
+  #attributeAll(server: string, state: ServerRun, now: number): void {
+    for (const { request, at } of state.broken.splice(0)) {
+      if (now - at <= EVIDENCE_LIFETIME) {
+        this.#attribute(server, state.run, request, now);
       }
     }
   }
 
-  #accuse(
+  #attribute(
     server: string,
     run: string,
     request: BrokenRequest,
@@ -157,38 +164,38 @@
   ): void {
     const { fingerprint, target } = request;
     const isNews = this.quarantine.accuse(fingerprint, target, run, now);
-    this.accused({ request, server, isNews });
+    this.reportCrash({ request, server, isNews });
   }
 
-  /** What is remembered of the run that a server is now. */
-  #watch(server: TrackedServer, now: number): Watched {
+  /** The state of a server's current run, which is created if necessary. */
+  #currentRun(server: TrackedServer, now: number): ServerRun {
     const { id, incarnation } = server.entry;
     const run = `${id}#${incarnation}`;
-    const known = this.#watched.get(id);
+    const known = this.#runs.get(id);
     if (known?.run === run) {
       known.seenAt = now;
-      if (known.endedAt !== null && now - known.endedAt > MEMORY) {
+      if (known.endedAt !== null && now - known.endedAt > EVIDENCE_LIFETIME) {
         known.endedAt = null;
       }
       return known;
     }
-    const watched: Watched = {
+    const state: ServerRun = {
       run,
       endedAt: null,
       broken: [],
-      checkedAt: -Infinity,
-      checkPause: FIRST_CHECK_PAUSE,
+      probedAt: -Infinity,
+      probePause: INITIAL_PROBE_PAUSE,
       seenAt: now,
     };
-    this.#watched.set(id, watched);
-    if (this.#watched.size > MAXIMUM_SERVERS) this.#forgetOld(now);
-    return watched;
+    this.#runs.set(id, state);
+    if (this.#runs.size > MAXIMUM_SERVERS) this.#evict(now);
+    return state;
   }
 
-  #forgetOld(now: number): void {
-    for (const [id, { seenAt }] of this.#watched) {
-      const isFull = this.#watched.size > MAXIMUM_SERVERS;
-      if (isFull || now - seenAt > MEMORY) this.#watched.delete(id);
+  #evict(now: number): void {
+    for (const [id, { seenAt }] of this.#runs) {
+      const isFull = this.#runs.size > MAXIMUM_SERVERS;
+      if (isFull || now - seenAt > EVIDENCE_LIFETIME) this.#runs.delete(id);
     }
   }
 }
--- a/src/core/quarantine/crash_watch_test.ts
+++ b/src/core/quarantine/crash_watch_test.ts
@@ -11,25 +11,25 @@
   fingerprint: fingerprintOf("/").whole,
 };
 
-/** A watch over servers `s-1` to `s-3`. */
+/** A crash watch with servers `s-1` to `s-3`. */
 function createWatch() {
   const fleet = Fleet.create();
   fleet.apply(["s-1", "s-2", "s-3"].map((id) => backendServer(id)), [], 0);
   const quarantine = Quarantine.create();
   const watch = CrashWatch.create(quarantine, () => {});
-  const ends = () => quarantine.endsUnder(REQUEST.fingerprint);
+  const crashes = () => quarantine.endsUnder(REQUEST.fingerprint);
   const server = (id: string) => fleet.get(id)!;
-  return { fleet, watch, ends, server };
+  return { fleet, watch, ends: crashes, server };
 }
 
-test("crash watch: a broken attempt accuses nobody while its server may live", (t) => {
+test("crash watch: a broken connection counts as no crash while the server may be running", (t) => {
   const { watch, ends, server } = createWatch();
   watch.broke(server("s-1"), REQUEST, 0);
   watch.found("s-1");
   t.is(ends(), 0);
 });
 
-test("crash watch: an address that refuses accuses what broke there before and after", (t) => {
+test("crash watch: a refused connection attributes a crash to requests that broke before and after", (t) => {
   const { watch, ends, server } = createWatch();
   watch.broke(server("s-1"), REQUEST, 0);
   watch.ended(server("s-1"), 5);
@@ -39,7 +39,7 @@
   t.is(ends(), 2);
 });
 
-test("crash watch: the registry's word accuses what broke a short time before", (t) => {
+test("crash watch: a removal from the registry attributes a crash to requests that broke recently", (t) => {
   const { watch, ends, server, fleet } = createWatch();
   watch.broke(server("s-1"), REQUEST, 0);
   watch.broke(server("s-2"), REQUEST, 0);
@@ -49,7 +49,7 @@
   t.is(ends(), 1);
 });
 
-test("crash watch: a server that starts again under its id has ended before", (t) => {
+test("crash watch: a restart attributes a crash to requests of the previous incarnation", (t) => {
   const { watch, ends, server, fleet } = createWatch();
   watch.broke(server("s-1"), REQUEST, 0);
   const next = backendServer("s-1", { incarnation: 2 });
@@ -60,7 +60,7 @@
   t.is(ends(), 2);
 });
 
-test("crash watch: a server that leaves ends by itself", (t) => {
+test("crash watch: the end of a draining server is not a crash", (t) => {
   const { watch, ends, server, fleet } = createWatch();
   const leave = (id: string) =>
     fleet.apply([backendServer(id, { isDraining: true })], [], 0);
@@ -73,13 +73,13 @@
   t.is(ends(), 0);
 });
 
-test("crash watch: a server is looked at once, and ever less often while it is found there", (t) => {
+test("crash watch: probes a server at once, then with exponential backoff while it responds", (t) => {
   const { watch, server } = createWatch();
-  const looks: number[] = [];
+  const probeTimes: number[] = [];
   for (let now = 0; now < 20_000; now += 100) {
     if (watch.broke(server("s-1"), REQUEST, now) === null) continue;
-    looks.push(now);
+    probeTimes.push(now);
     watch.found("s-1");
   }
-  t.deepEqual(looks, [0, 2_000, 6_000, 14_000]);
+  t.deepEqual(probeTimes, [0, 2_000, 6_000, 14_000]);
 });
--- a/src/core/quarantine/fingerprint.ts
+++ b/src/core/quarantine/fingerprint.ts
@@ -1,23 +1,23 @@
 /**
- * Tells whether two requests are the same one, sent again: by its method, host, path
- * and body, whatever connection, VM or id it comes by. Nor does it matter from which
- * network address: callers have clients in several availability zones, each with an
- * address of its own.
+ * Fingerprints that identify retries of a request by its method, host, path and body,
+ * independent of the connection, VM and request id. The client's network address is not
+ * part of it either: callers have clients in several availability zones, each with its
+ * own address.
  *
- * SHA-256 cut to 96 bits for each part, so that no caller finds a request that
- * passes for another one. A fingerprint is worked out when it is first asked for:
- * most requests never need theirs, and a body is hashed once at the most.
+ * Each part is a SHA-256 digest truncated to 96 bits, so that no caller can construct a
+ * request with the fingerprint of another one. Digests are computed lazily: most
+ * requests never need theirs, and a body is hashed at most once.
  *
  * @module
  */
 import { createHash } from "node:crypto";
 
-/** Characters of base64 that are kept of a digest: 96 bits. */
+/** Number of base64 characters in a truncated digest: 96 bits. */
 const DIGEST_LENGTH = 16;
-/** Stands between the parts of what is hashed; none of them may hold it. */
+/** Separates the hashed parts, none of which can contain it. */
 const SEPARATOR = "\n";
 
-/** What a request's fingerprint is made of. */
+/** The parts of a request that its fingerprint covers. */
 export interface FingerprintParts {
   method: string;
   host: string;
@@ -29,34 +29,34 @@
 /** See the module's comment. */
 export class Fingerprint {
   #head: string | null = null;
-  #whole: string | null = null;
+  #complete: string | null = null;
 
   private constructor(private readonly parts: FingerprintParts) {}
 
-  /** The fingerprint of a request; nothing is hashed yet. */
+  /** The fingerprint of a request; its digests are computed on first use. */
   static create(parts: FingerprintParts): Fingerprint {
     return new Fingerprint(parts);
   }
 
-  /** The part without the body: cheap, and enough to tell most requests from a
-   * known one. */
+  /** Digest of everything but the body. It is cheap to compute and is enough to
+   * distinguish most requests. */
   get head(): string {
     const { method, host, target } = this.parts;
     return this.#head ??= digest([method, host, target].join(SEPARATOR));
   }
 
-  /** All of it; begins with the head. */
+  /** The complete fingerprint; begins with {@linkcode head}. */
   get whole(): string {
-    return this.#whole ??= this.#withBody();
+    return this.#complete ??= this.#compute();
   }
 
-  #withBody(): string {
+  #compute(): string {
     const { body } = this.parts;
     return body.length === 0 ? this.head : `${this.head}.${digest(body)}`;
   }
 }
 
-/** The head of a whole fingerprint. */
+/** The head of a complete fingerprint. */
 export function headOf(whole: string): string {
   return whole.slice(0, DIGEST_LENGTH);
 }
--- a/src/core/quarantine/fingerprint_test.ts
+++ b/src/core/quarantine/fingerprint_test.ts
@@ -12,7 +12,7 @@
 const whole = (change: Partial<FingerprintParts> = {}) =>
   Fingerprint.create({ ...PARTS, ...change }).whole;
 
-test("fingerprint: the same request has the same one, any other part another", (t) => {
+test("fingerprint: is equal for equal requests and differs with any part", (t) => {
   t.is(whole(), whole());
   const changes: Partial<FingerprintParts>[] = [
     { method: "PUT" },
@@ -24,7 +24,7 @@
   t.is(new Set([whole(), ...changes.map(whole)]).size, changes.length + 1);
 });
 
-test("fingerprint: a request without a body is known by its head", (t) => {
+test("fingerprint: of a request without a body is its head", (t) => {
   const { head, whole } = Fingerprint.create({
     ...PARTS,
     body: Buffer.alloc(0),
@@ -32,14 +32,14 @@
   t.is(whole, head);
 });
 
-test("fingerprint: the whole begins with the head, whatever the body", (t) => {
+test("fingerprint: begins with its head, whatever the body", (t) => {
   fc.assert(fc.property(fc.uint8Array({ maxLength: 200 }), (body) => {
     const fingerprint = Fingerprint.create({ ...PARTS, body });
     t.is(headOf(fingerprint.whole), fingerprint.head);
   }));
 });
 
-test("fingerprint: a body is looked at once at the most, and not for the head", (t) => {
+test("fingerprint: hashes a body at most once, and not for the head", (t) => {
   let reads = 0;
   const parts = {
     ...PARTS,
--- a/src/core/quarantine/permit_issuer.ts
+++ b/src/core/quarantine/permit_issuer.ts
@@ -1,82 +1,82 @@
 /**
- * Issues the permits by which requests under which servers have ended run one copy at
- * a time ({@linkcode RunPermits}).
+ * Issues the permits that limit a request under which a server crashed to one copy at a
+ * time ({@linkcode RunPermits}).
  *
- * It belongs to the VM that was last announced as term holder, with authority or
- * without: a permit orders no server to do anything, and while the store is out
- * nobody has authority for long. What the issuer before it has let run is not known,
- * so a new one issues nothing until that is over.
+ * Permits are issued by the VM that was last announced as term holder, whether or not
+ * its authority is still valid: a permit gives no order to a server, and during an
+ * outage of the store no VM has authority for long. The permits of the previous issuer
+ * are unknown, so a new issuer issues none until they have expired.
  *
  * @module
  */
 import { LONGEST_PERMIT, type PermitAnswer } from "./run_permits.ts";
 
-/** Ends of servers under copies with a permit after which the next one waits until the
- * permit's time is over: by then all VMs know of those ends, and hold the request back
- * if it is to blame. */
-const TOLERATED_ENDS = 2;
-/** Permits that are out at the most; bounds memory. */
+/** Number of consecutive crashes under copies with a permit after which the next copy
+ * waits until the permit has expired. By then all VMs know of the crashes and have
+ * quarantined the request if it causes them. */
+const MAXIMUM_CONSECUTIVE_CRASHES = 2;
+/** Maximum number of issued permits; limits memory. */
 const MAXIMUM_PERMITS = 4_096;
 
 interface IssuedPermit {
-  /** The VM that has it; null for nobody. */
+  /** Address of the VM that has the permit; null if it was released. */
   address: string | null;
   until: number;
-  /** Servers that have ended under copies with it in a row. */
-  ends: number;
+  /** Number of consecutive crashes under copies with a permit. */
+  crashes: number;
 }
 
 /** See the module's comment. Times are milliseconds of this VM's clock. */
 export class PermitIssuer {
-  /** By the request's whole fingerprint. */
+  /** Permits by the request's complete fingerprint. */
   readonly #issued = new Map<string, IssuedPermit>();
-  #openAt = Infinity;
+  #activeAt = Infinity;
 
   private constructor() {}
 
-  /** An issuer that has not begun. */
+  /** An inactive issuer. */
   static create(): PermitIssuer {
     return new PermitIssuer();
   }
 
-  /** This VM is the issuer from now on. */
+  /** Activates the issuer, once this VM is the announced term holder. */
   begin(now: number): void {
     this.#issued.clear();
-    this.#openAt = now + LONGEST_PERMIT;
+    this.#activeAt = now + LONGEST_PERMIT;
   }
 
-  /** Another VM is. */
+  /** Deactivates the issuer, once another VM is the announced term holder. */
   end(): void {
     this.#issued.clear();
-    this.#openAt = Infinity;
+    this.#activeAt = Infinity;
   }
 
-  /** The answer to the VM at `address`, which wants a permit for so long. */
+  /** Answers the VM at `address`, which requests a permit for `duration` milliseconds. */
   issue(
     request: string,
     address: string,
     duration: number,
     now: number,
   ): PermitAnswer {
-    const openIn = this.#openAt - now;
-    if (openIn > 0) {
-      return { isGranted: false, left: Math.min(openIn, LONGEST_PERMIT) };
+    const activeIn = this.#activeAt - now;
+    if (activeIn > 0) {
+      return { isGranted: false, left: Math.min(activeIn, LONGEST_PERMIT) };
     }
     const issued = this.#issued.get(request);
     if (issued !== undefined && now < issued.until) {
       return { isGranted: false, left: issued.until - now };
     }
-    if (this.#issued.size >= MAXIMUM_PERMITS) this.#forgetOver(now);
+    if (this.#issued.size >= MAXIMUM_PERMITS) this.#removeExpired(now);
     if (this.#issued.size >= MAXIMUM_PERMITS) {
       return { isGranted: false, left: LONGEST_PERMIT };
     }
     const left = Math.min(duration, LONGEST_PERMIT);
-    const ends = issued?.ends ?? 0;
-    this.#issued.set(request, { address, until: now + left, ends });
+    const crashes = issued?.crashes ?? 0;
+    this.#issued.set(request, { address, until: now + left, crashes });
     return { isGranted: true, left };
   }
 
-  /** The VM at `address` needs its permit no longer; its server may have ended. */
+  /** Releases the permit of the VM at `address`; `hasEnded` if the server crashed. */
   returned(request: string, address: string, hasEnded: boolean): void {
     const issued = this.#issued.get(request);
     if (issued?.address !== address) return;
@@ -85,11 +85,11 @@
       return;
     }
     issued.address = null;
-    issued.ends += 1;
-    if (issued.ends < TOLERATED_ENDS) issued.until = -Infinity;
+    issued.crashes += 1;
+    if (issued.crashes < MAXIMUM_CONSECUTIVE_CRASHES) issued.until = -Infinity;
   }
 
-  #forgetOver(now: number): void {
+  #removeExpired(now: number): void {
     for (const [request, { until }] of this.#issued) {
       if (now >= until) this.#issued.delete(request);
     }
--- a/src/core/quarantine/quarantine.ts
+++ b/src/core/quarantine/quarantine.ts
@@ -1,12 +1,12 @@
 /**
- * Requests under which backend servers have ended, and which of them are held back.
+ * The quarantine: rejects requests that repeatedly crash backend servers.
  *
- * A server that ends accuses all requests that were at work on it, a little and none
- * of them for certain. One that is still there when three runs have ended is held
- * back: it is refused at once, at all VMs, whichever of them saw those ends. What is
- * answered once is innocent, and so is what was only ever beside one that is held
- * back. After a while a request that is held back is let through for a trial, so that
- * a service which was mended is not closed to it for good.
+ * A crash counts against each request that was in progress on the server, since any of
+ * them may have caused it. A request that was in progress at the crashes of three runs
+ * is quarantined: all VMs reject it immediately, whichever of them observed the crashes.
+ * An answer to a request clears it, and so does the quarantine of another request that
+ * explains all of its crashes. A quarantined request is released for a trial after some
+ * time, so that it is not rejected forever after its service was fixed.
  *
  * ```ts
  * quarantine.accuse(fingerprint.whole, "h/path", "server-1#0", now);
@@ -20,43 +20,43 @@
 import {
   type CrashRecord,
   digestOf,
-  forgottenAt,
-  heldFrom,
-  heldUntil,
+  expiresAt,
+  hasReachedLimit,
+  hasSameNames,
   type Hold,
   holdOf,
-  isBefore,
-  isConvicted,
-  isDoubtful,
-  isNotable,
-  isSame,
-  isTrusted,
-  type KnownCrashes,
+  isEvictedBefore,
+  isNearLimit,
+  isRecentlyAnswered,
+  isReplicated,
   MAXIMUM_RUNS,
   newCrashes,
+  quarantinedFrom,
+  quarantinedUntil,
+  type RequestCrashes,
   toRecord,
   union,
 } from "./crash_record.ts";
 
-/** Records that are kept at the most; the one whose server ended longest ago goes
- * first, and those of requests that are held back last. */
+/** Maximum number of records. The one with the oldest crash is evicted first, and those
+ * of quarantined requests last. */
 const MAXIMUM_RECORDS = 4_096;
-/** Pause between two looks at all records, in milliseconds. */
-const EXPIRY_PAUSE = 100;
-/** Records that all VMs are told at the most. */
-const MAXIMUM_NOTABLE = 256;
+/** Minimum interval between two passes over all records, in milliseconds. */
+const EXPIRY_INTERVAL = 100;
+/** Maximum number of records that are sent to other VMs. */
+const MAXIMUM_SENT_RECORDS = 256;
 
-/** A change that is worth a line in the log. */
+/** A change that is logged. */
 export interface QuarantineChange {
   kind: "held" | "cleared" | "tried";
-  crashes: KnownCrashes;
+  crashes: RequestCrashes;
 }
 
 /** See the module's comment. Times are milliseconds. */
 export class Quarantine {
-  readonly #records = new Map<string, KnownCrashes>();
-  /** Fingerprints by their heads: most requests are told from all of them by it,
-   * without a look at their bodies. */
+  readonly #records = new Map<string, RequestCrashes>();
+  /** Fingerprints by their heads, which distinguish most requests from recorded ones
+   * without hashing their bodies. */
   readonly #byHead = new Map<string, Set<string>>();
   #revision = 0;
   #ownRevision = 0;
@@ -68,29 +68,30 @@
     private readonly changed: (change: QuarantineChange) => void,
   ) {}
 
-  /** Holds nothing back; calls `changed` with what matters to operators. */
+  /** Starts without records; passes changes for operators to `changed`. */
   static create(
     changed: (change: QuarantineChange) => void = () => {},
   ): Quarantine {
     return new Quarantine(changed);
   }
 
-  /** Number of the last change here. */
+  /** Revision of the last change. */
   get revision(): number {
     return this.#revision;
   }
 
-  /** Number of the last change that this VM has seen itself: others cannot know. */
+  /** Revision of the last change that this VM observed itself and others may not know. */
   get ownRevision(): number {
     return this.#ownRevision;
   }
 
-  /** A number that is the same at two VMs which have the same notable records. */
+  /** Hash of the replicated records; equal on VMs with the same records. */
   get digest(): number {
-    return this.#digest ??= digestOf(this.#notable());
+    return this.#digest ??= digestOf(this.#replicated());
   }
 
-  /** A run of a server ended under a request. Returns whether that is news. */
+  /** Records that a run of a server crashed under a request; returns whether that was not
+   * known before. */
   accuse(request: string, target: string, run: string, now: number): boolean {
     const crashes = this.#records.get(request) ??
       this.#add(newCrashes(request, target, 0, now));
@@ -98,37 +99,39 @@
     if (isKnown) return false;
     this.#update(crashes, now, () => {
       crashes.lastAt = now;
-      const list = isTrusted(crashes, now) ? crashes.excused : crashes.runs;
+      const list = isRecentlyAnswered(crashes, now)
+        ? crashes.excused
+        : crashes.runs;
       list.push(run);
     });
     this.#ownRevision = this.#revision;
     return true;
   }
 
-  /** Runs that have ended under a request and count; 0 for most. */
+  /** Number of crashes that count against a request; 0 for most. */
   ends(fingerprint: Fingerprint): number {
     return this.#find(fingerprint)?.runs.length ?? 0;
   }
 
-  /** Whether a server has ever ended under a request, as far as it is remembered. */
+  /** Whether there is a record of a request. */
   isKnown(fingerprint: Fingerprint): boolean {
     return this.#find(fingerprint) !== undefined;
   }
 
-  /** The same of a request by its whole fingerprint. */
+  /** Number of crashes that count against a request, by its complete fingerprint. */
   endsUnder(request: string): number {
     return this.#records.get(request)?.runs.length ?? 0;
   }
 
-  /** How a request is held back, or null when it may be sent. */
+  /** The quarantine of a request, or null if it may be sent. */
   hold(fingerprint: Fingerprint, now: number): Hold | null {
     const crashes = this.#find(fingerprint);
-    if (crashes === undefined || !isConvicted(crashes)) return null;
+    if (crashes === undefined || !hasReachedLimit(crashes)) return null;
     this.#advance(crashes, now);
     return crashes.isHeld ? holdOf(crashes, now) : null;
   }
 
-  /** A server has answered a request that it ran. */
+  /** Records that a server answered a request, which clears it. */
   clear(fingerprint: Fingerprint, now: number): void {
     const crashes = this.#find(fingerprint);
     if (crashes === undefined) return;
@@ -139,33 +142,33 @@
     this.changed({ kind: "cleared", crashes });
   }
 
-  /** All requests that are held back. */
+  /** All quarantined requests. */
   holds(now: number): Hold[] {
     return [...this.#records.values()].filter((each) => each.isHeld)
       .map((crashes) => holdOf(crashes, now));
   }
 
-  /** Number of the last change to what {@linkcode recordable} returns. */
+  /** Revision of the last change to what {@linkcode recordable} returns. */
   get recordRevision(): number {
     return this.#recordRevision;
   }
 
-  /** Records of the requests that are held back, or are close to it: after a loss of
-   * all VMs the ends so far still count. */
+  /** Records of requests that are quarantined or near their limit. They are persisted,
+   * so that the crashes still count after all VMs have failed. */
   recordable(now: number): CrashRecord[] {
-    return this.#notable().filter((each) => each.isHeld || isDoubtful(each))
+    return this.#replicated().filter((each) => each.isHeld || isNearLimit(each))
       .map((each) => toRecord(each, now));
   }
 
-  /** Number of requests that are held back. */
+  /** Number of quarantined requests. */
   get holdCount(): number {
     let count = 0;
     for (const { isHeld } of this.#records.values()) if (isHeld) count += 1;
     return count;
   }
 
-  /** Records that have changed after a revision, the newest first; those that are
-   * known at `address` already are left out. */
+  /** Records that changed after a revision, newest first, except those that the VM at
+   * `address` is known to have. */
   changesSince(
     revision: number,
     now: number,
@@ -175,27 +178,27 @@
       .filter((each) => each.revision > revision)
       .filter(({ knownAt }) => knownAt === null || knownAt !== address)
       .sort((a, b) => b.revision - a.revision)
-      .slice(0, MAXIMUM_NOTABLE);
+      .slice(0, MAXIMUM_SENT_RECORDS);
     return changed.map((each) => toRecord(each, now));
   }
 
-  /** Records that all VMs should have. */
+  /** Records that are replicated to all VMs. */
   notable(now: number): CrashRecord[] {
-    return this.#notable().map((each) => toRecord(each, now));
+    return this.#replicated().map((each) => toRecord(each, now));
   }
 
-  /** The same, with the newest of the requests under which one server has ended: a
-   * VM that has just started lets none of them run beside a copy. */
+  /** Replicated records and the newest records with a single crash, for a VM that has
+   * just started: it then runs none of these requests beside another copy. */
   suspects(now: number): CrashRecord[] {
-    const notable = this.#notable();
+    const replicated = this.#replicated();
     const others = [...this.#records.values()]
-      .filter((each) => each.runs.length > 0 && !isNotable(each))
+      .filter((each) => each.runs.length > 0 && !isReplicated(each))
       .sort((a, b) => b.revision - a.revision);
-    return [...notable, ...others].slice(0, MAXIMUM_NOTABLE)
+    return [...replicated, ...others].slice(0, MAXIMUM_SENT_RECORDS)
       .map((each) => toRecord(each, now));
   }
 
-  /** Takes what another VM knows, the one at `address` if that matters. */
+  /** Merges records from another VM, whose address is `address` if it is known. */
   merge(
     records: readonly CrashRecord[],
     now: number,
@@ -204,20 +207,20 @@
     for (const record of records) this.#merge(record, now, address);
   }
 
-  /** Holds requests back, lets them through for a trial, and forgets others, whose
-   * time has come. */
+  /** Quarantines requests, releases them for a trial and removes expired records, as far
+   * as they are due. */
   expire(now: number): void {
-    if (now - this.#expiredAt < EXPIRY_PAUSE) return;
+    if (now - this.#expiredAt < EXPIRY_INTERVAL) return;
     this.#expiredAt = now;
     for (const crashes of this.#records.values()) this.#advance(crashes, now);
   }
 
-  #advance(crashes: KnownCrashes, now: number): void {
-    if (!isConvicted(crashes)) {
-      if (now >= forgottenAt(crashes)) this.#forget(crashes);
-    } else if (now >= heldUntil(crashes)) {
-      this.#try(crashes, now);
-    } else if (!crashes.isHeld && now >= heldFrom(crashes)) {
+  #advance(crashes: RequestCrashes, now: number): void {
+    if (!hasReachedLimit(crashes)) {
+      if (now >= expiresAt(crashes)) this.#remove(crashes);
+    } else if (now >= quarantinedUntil(crashes)) {
+      this.#startTrial(crashes, now);
+    } else if (!crashes.isHeld && now >= quarantinedFrom(crashes)) {
       crashes.isHeld = true;
       this.#recordRevision += 1;
       this.changed({ kind: "held", crashes });
@@ -235,7 +238,8 @@
     const runs = union(crashes.runs, record.runs)
       .filter((run) => !excused.includes(run));
     const isNews = known === undefined || round > crashes.round ||
-      !isSame(runs, crashes.runs) || !isSame(excused, crashes.excused);
+      !hasSameNames(runs, crashes.runs) ||
+      !hasSameNames(excused, crashes.excused);
     crashes.lastAt = Math.max(crashes.lastAt, lastAt);
     if (!isNews) return;
     this.#update(crashes, now, () => {
@@ -243,27 +247,27 @@
       crashes.runs = runs;
       crashes.excused = excused;
     });
-    const isAllOfIt = isSame(crashes.runs, record.runs) &&
-      isSame(crashes.excused, record.excused);
-    crashes.knownAt = isAllOfIt ? address : null;
-    if (crashes.runs.length > 0 && isTrusted(crashes, now)) {
+    const isComplete = hasSameNames(crashes.runs, record.runs) &&
+      hasSameNames(crashes.excused, record.excused);
+    crashes.knownAt = isComplete ? address : null;
+    if (crashes.runs.length > 0 && isRecentlyAnswered(crashes, now)) {
       this.#excuse(crashes, crashes.runs, now);
       this.#ownRevision = this.#revision;
     }
-    // Whoever holds it back has waited for an answer to be heard of.
-    if (record.isHeld && isConvicted(crashes)) {
-      crashes.doubtfulSince = -Infinity;
+    // The sender has already waited for answers before it quarantined the request.
+    if (record.isHeld && hasReachedLimit(crashes)) {
+      crashes.nearLimitSince = -Infinity;
     }
   }
 
-  #find(fingerprint: Fingerprint): KnownCrashes | undefined {
+  #find(fingerprint: Fingerprint): RequestCrashes | undefined {
     if (this.#records.size === 0) return undefined;
     if (!this.#byHead.has(fingerprint.head)) return undefined;
     return this.#records.get(fingerprint.whole);
   }
 
-  #add(crashes: KnownCrashes): KnownCrashes {
-    if (this.#records.size >= MAXIMUM_RECORDS) this.#forgetOldest();
+  #add(crashes: RequestCrashes): RequestCrashes {
+    if (this.#records.size >= MAXIMUM_RECORDS) this.#evict();
     const { request } = crashes;
     this.#records.set(request, crashes);
     const head = headOf(request);
@@ -272,41 +276,43 @@
     return crashes;
   }
 
-  #update(crashes: KnownCrashes, now: number, change: () => void): void {
-    const wasNotable = isNotable(crashes);
-    const wasDoubtful = isDoubtful(crashes);
+  #update(crashes: RequestCrashes, now: number, change: () => void): void {
+    const wasReplicated = isReplicated(crashes);
+    const wasNearLimit = isNearLimit(crashes);
     change();
-    if (wasDoubtful !== isDoubtful(crashes)) this.#recordRevision += 1;
+    if (wasNearLimit !== isNearLimit(crashes)) this.#recordRevision += 1;
     crashes.knownAt = null;
     crashes.runs = crashes.runs.slice(-MAXIMUM_RUNS);
     crashes.excused = crashes.excused.slice(-MAXIMUM_RUNS);
-    const since = Math.min(crashes.doubtfulSince, now);
-    crashes.doubtfulSince = isDoubtful(crashes) ? since : Infinity;
-    if (!isConvicted(crashes)) crashes.isHeld = false;
+    const since = Math.min(crashes.nearLimitSince, now);
+    crashes.nearLimitSince = isNearLimit(crashes) ? since : Infinity;
+    if (!hasReachedLimit(crashes)) crashes.isHeld = false;
     this.#revision += 1;
     crashes.revision = this.#revision;
-    if (wasNotable || isNotable(crashes)) this.#digest = null;
+    if (wasReplicated || isReplicated(crashes)) this.#digest = null;
     if (crashes.isHeld) this.#excuseOthers(crashes, now);
   }
 
-  /** What a request that is held back accounts for is no other one's fault, unless that
-   * was there just as often: which of the two is to blame nobody can tell. */
-  #excuseOthers(held: KnownCrashes, now: number): void {
+  /** Excuses other requests from crashes that a quarantined request explains. A request
+   * that has reached its own limit is not excused, since it may be the cause as well. */
+  #excuseOthers(quarantined: RequestCrashes, now: number): void {
     for (const crashes of this.#records.values()) {
-      if (isConvicted(crashes)) continue;
-      const explained = crashes.runs.filter((run) => held.runs.includes(run));
+      if (hasReachedLimit(crashes)) continue;
+      const explained = crashes.runs.filter((run) =>
+        quarantined.runs.includes(run)
+      );
       if (explained.length > 0) this.#excuse(crashes, explained, now);
     }
   }
 
-  #excuse(crashes: KnownCrashes, runs: readonly string[], now: number): void {
+  #excuse(crashes: RequestCrashes, runs: readonly string[], now: number): void {
     this.#update(crashes, now, () => {
       crashes.excused = union(crashes.excused, runs);
       crashes.runs = crashes.runs.filter((run) => !runs.includes(run));
     });
   }
 
-  #try(crashes: KnownCrashes, now: number): void {
+  #startTrial(crashes: RequestCrashes, now: number): void {
     this.#update(crashes, now, () => {
       crashes.round += 1;
       crashes.excused = union(crashes.excused, crashes.runs);
@@ -315,28 +321,28 @@
     this.changed({ kind: "tried", crashes });
   }
 
-  #forgetOldest(): void {
-    let oldest: KnownCrashes | null = null;
+  #evict(): void {
+    let oldest: RequestCrashes | null = null;
     for (const crashes of this.#records.values()) {
-      if (oldest === null || isBefore(crashes, oldest)) oldest = crashes;
+      if (oldest === null || isEvictedBefore(crashes, oldest)) oldest = crashes;
     }
-    if (oldest !== null) this.#forget(oldest);
+    if (oldest !== null) this.#remove(oldest);
   }
 
-  #forget(crashes: KnownCrashes): void {
+  #remove(crashes: RequestCrashes): void {
     const { request } = crashes;
     this.#records.delete(request);
-    if (isNotable(crashes)) this.#digest = null;
+    if (isReplicated(crashes)) this.#digest = null;
     const head = headOf(request);
     const others = this.#byHead.get(head);
     others?.delete(request);
     if (others?.size === 0) this.#byHead.delete(head);
   }
 
-  #notable(): KnownCrashes[] {
-    const all = [...this.#records.values()].filter(isNotable);
-    if (all.length <= MAXIMUM_NOTABLE) return all;
-    return all.sort((a, b) => isBefore(a, b) ? 1 : -1)
-      .slice(0, MAXIMUM_NOTABLE);
+  #replicated(): RequestCrashes[] {
+    const all = [...this.#records.values()].filter(isReplicated);
+    if (all.length <= MAXIMUM_SENT_RECORDS) return all;
+    return all.sort((a, b) => isEvictedBefore(a, b) ? 1 : -1)
+      .slice(0, MAXIMUM_SENT_RECORDS);
   }
 }
--- a/src/core/quarantine/quarantine_test.ts
+++ b/src/core/quarantine/quarantine_test.ts
@@ -4,121 +4,121 @@
 import type { CrashRecord } from "./crash_record.ts";
 import { Quarantine } from "./quarantine.ts";
 
-const ENDING = fingerprintOf("/ends");
-const INNOCENT = fingerprintOf("/innocent");
-/** Time after which a request that was convicted is held back. */
-const HEARD = 1_000;
+const HARMFUL = fingerprintOf("/harmful");
+const HARMLESS = fingerprintOf("/harmless");
+/** Time from reaching the crash limit until the quarantine, in milliseconds. */
+const DELAY = 1_000;
 const MINUTE = 60_000;
 const HOUR = 60 * MINUTE;
 
-/** A quarantine in which so many servers ended under `ENDING`, at time 0. */
-function accusedOf(ends: number): Quarantine {
+/** A quarantine in which servers crashed under the harmful request at time 0. */
+function quarantineAfter(crashes: number): Quarantine {
   const quarantine = Quarantine.create();
-  for (let i = 0; i < ends; i++) {
-    quarantine.accuse(ENDING.whole, "h/ends", `s-${i}#1`, 0);
+  for (let i = 0; i < crashes; i++) {
+    quarantine.accuse(HARMFUL.whole, "h/harmful", `s-${i}#1`, 0);
   }
   return quarantine;
 }
 
 function isHeld(quarantine: Quarantine, now: number): boolean {
-  return quarantine.hold(ENDING, now) !== null;
+  return quarantine.hold(HARMFUL, now) !== null;
 }
 
-test("quarantine: a request is held back from the third end on, not before", (t) => {
-  t.false(isHeld(accusedOf(2), HEARD));
-  t.true(isHeld(accusedOf(3), HEARD));
+test("quarantine: a request is quarantined after the third crash, not before", (t) => {
+  t.false(isHeld(quarantineAfter(2), DELAY));
+  t.true(isHeld(quarantineAfter(3), DELAY));
 });
 
-test("quarantine: one run of a server counts once, whoever saw it end", (t) => {
-  const quarantine = accusedOf(2);
-  t.false(quarantine.accuse(ENDING.whole, "h/ends", "s-1#1", 10));
-  t.false(isHeld(quarantine, HEARD));
-  t.true(quarantine.accuse(ENDING.whole, "h/ends", "s-1#2", 10));
-  t.true(isHeld(quarantine, HEARD));
+test("quarantine: a crash of a server's run counts once, whoever observed it", (t) => {
+  const quarantine = quarantineAfter(2);
+  t.false(quarantine.accuse(HARMFUL.whole, "h/harmful", "s-1#1", 10));
+  t.false(isHeld(quarantine, DELAY));
+  t.true(quarantine.accuse(HARMFUL.whole, "h/harmful", "s-1#2", 10));
+  t.true(isHeld(quarantine, DELAY));
 });
 
-test("quarantine: a request that is answered is innocent, also by another VM's word", (t) => {
-  const quarantine = accusedOf(3);
+test("quarantine: an answer clears a request, also an answer on another VM", (t) => {
+  const quarantine = quarantineAfter(3);
   const other = Quarantine.create();
   other.merge(quarantine.notable(10), 10);
-  other.clear(ENDING, 20);
+  other.clear(HARMFUL, 20);
   quarantine.merge(other.notable(30), 30);
-  t.false(isHeld(quarantine, HEARD));
+  t.false(isHeld(quarantine, DELAY));
   t.is(quarantine.digest, other.digest);
-  // What the other VM still says of the same ends brings nothing back.
-  quarantine.merge(accusedOf(3).notable(40), 40);
-  t.false(isHeld(quarantine, 40 + HEARD));
+  // Delayed records of the same crashes from the other VM do not count again.
+  quarantine.merge(quarantineAfter(3).notable(40), 40);
+  t.false(isHeld(quarantine, 40 + DELAY));
 });
 
-test("quarantine: what one that is held back accounts for is nobody else's fault", (t) => {
-  const quarantine = accusedOf(2);
+test("quarantine: crashes that a quarantined request explains do not count against others", (t) => {
+  const quarantine = quarantineAfter(2);
   for (const run of ["s-0#1", "s-1#1"]) {
-    quarantine.accuse(INNOCENT.whole, "h/innocent", run, 0);
+    quarantine.accuse(HARMLESS.whole, "h/harmless", run, 0);
   }
-  quarantine.accuse(ENDING.whole, "h/ends", "s-2#1", 0);
-  quarantine.expire(HEARD);
-  t.is(quarantine.ends(INNOCENT), 0);
-  quarantine.accuse(INNOCENT.whole, "h/innocent", "s-3#1", HEARD);
-  t.is(quarantine.hold(INNOCENT, 3 * HEARD), null);
+  quarantine.accuse(HARMFUL.whole, "h/harmful", "s-2#1", 0);
+  quarantine.expire(DELAY);
+  t.is(quarantine.ends(HARMLESS), 0);
+  quarantine.accuse(HARMLESS.whole, "h/harmless", "s-3#1", DELAY);
+  t.is(quarantine.hold(HARMLESS, 3 * DELAY), null);
 });
 
-test("quarantine: it is let through for a trial after a while; one end holds it back for longer", (t) => {
-  const quarantine = accusedOf(3);
+test("quarantine: a request is released for a trial; one crash quarantines it for longer", (t) => {
+  const quarantine = quarantineAfter(3);
   t.true(isHeld(quarantine, 2 * MINUTE - 1));
   t.false(isHeld(quarantine, 2 * MINUTE));
   const at = 2 * MINUTE + 10;
-  quarantine.accuse(ENDING.whole, "h/ends", "s-9#1", at);
-  t.true(isHeld(quarantine, at + HEARD));
+  quarantine.accuse(HARMFUL.whole, "h/harmful", "s-9#1", at);
+  t.true(isHeld(quarantine, at + DELAY));
   t.true(isHeld(quarantine, at + 4 * MINUTE - 1));
   t.false(isHeld(quarantine, at + 4 * MINUTE));
 });
 
-test("quarantine: one that was mended is forgotten after its trial", (t) => {
-  const quarantine = accusedOf(3);
+test("quarantine: the record of a request without crashes expires after its trial", (t) => {
+  const quarantine = quarantineAfter(3);
   t.false(isHeld(quarantine, 2 * MINUTE));
   quarantine.expire(HOUR);
   t.deepEqual(quarantine.notable(HOUR), []);
   t.is(quarantine.digest, 0);
 });
 
-test("quarantine: a VM that learns late holds it back for as long as the others", (t) => {
+test("quarantine: ends at the same time on a VM that receives the record late", (t) => {
   const late = Quarantine.create();
-  late.merge(accusedOf(3).notable(MINUTE), 5_000);
+  late.merge(quarantineAfter(3).notable(MINUTE), 5_000);
   t.true(isHeld(late, 5_000 + MINUTE - 1));
   t.false(isHeld(late, 5_000 + MINUTE));
 });
 
-test("quarantine: a million requests leave a bounded memory, and what is held back stays", (t) => {
-  const quarantine = accusedOf(3);
-  quarantine.expire(HEARD);
+test("quarantine: the number of records is bounded, and quarantined requests are kept", (t) => {
+  const quarantine = quarantineAfter(3);
+  quarantine.expire(DELAY);
   for (let i = 0; i < 10_000; i++) {
-    quarantine.accuse(`request-${i}`, "h/x", "s-7#1", HEARD + i);
+    quarantine.accuse(`request-${i}`, "h/x", "s-7#1", DELAY + i);
   }
   t.true(isHeld(quarantine, 20_000));
   t.true(quarantine.changesSince(0, 20_000).length <= 256);
 });
 
-test("quarantine: a request whose path another one shares is not looked into", (t) => {
+test("quarantine: a request with the same path and another body is not quarantined", (t) => {
   const quarantine = Quarantine.create();
-  const sent = fingerprintOf("/same", "ends servers");
+  const sent = fingerprintOf("/same", "harmful body");
   for (let i = 0; i < 3; i++) {
     quarantine.accuse(sent.whole, "h/same", `s-${i}#1`, 0);
   }
-  t.not(quarantine.hold(sent, HEARD), null);
-  t.is(quarantine.hold(fingerprintOf("/same", "other body"), HEARD), null);
+  t.not(quarantine.hold(sent, DELAY), null);
+  t.is(quarantine.hold(fingerprintOf("/same", "other body"), DELAY), null);
 });
 
-/** What VMs may have seen: ends, answers, and words to each other. */
+/** What VMs may observe: crashes, answers, and messages between VMs. */
 const actions = fc.array(
   fc.oneof(
     fc.record({
-      kind: fc.constant("end" as const),
+      kind: fc.constant("crash" as const),
       vm: fc.nat(2),
       run: fc.nat(5),
     }),
     fc.record({ kind: fc.constant("answer" as const), vm: fc.nat(2) }),
     fc.record({
-      kind: fc.constant("word" as const),
+      kind: fc.constant("message" as const),
       vm: fc.nat(2),
       to: fc.nat(2),
     }),
@@ -126,16 +126,16 @@
   { maxLength: 30 },
 );
 
-test("quarantine: whatever order words come in, all VMs know the same in the end", (t) => {
+test("quarantine: all VMs converge whatever the order of messages", (t) => {
   fc.assert(fc.property(actions, (list) => {
     const vms = [0, 1, 2].map(() => Quarantine.create());
     const all = (index: number, now: number): CrashRecord[] =>
       vms[index].changesSince(0, now);
     list.forEach((action, now) => {
       const vm = vms[action.vm];
-      if (action.kind === "end") {
-        vm.accuse(ENDING.whole, "h/ends", `s-${action.run}#1`, now);
-      } else if (action.kind === "answer") vm.clear(ENDING, now);
+      if (action.kind === "crash") {
+        vm.accuse(HARMFUL.whole, "h/harmful", `s-${action.run}#1`, now);
+      } else if (action.kind === "answer") vm.clear(HARMFUL, now);
       else vms[action.to].merge(all(action.vm, now), now);
     });
     for (let round = 0; round < 2; round++) {
@@ -148,30 +148,30 @@
   }));
 });
 
-test("quarantine: of two that were there at the same ends neither clears the other", (t) => {
+test("quarantine: two requests with the same crashes do not clear each other", (t) => {
   const quarantine = Quarantine.create();
   for (const run of ["s-0#1", "s-1#1", "s-2#1"]) {
-    quarantine.accuse(INNOCENT.whole, "h/innocent", run, 0);
-    quarantine.accuse(ENDING.whole, "h/ends", run, 0);
+    quarantine.accuse(HARMLESS.whole, "h/harmless", run, 0);
+    quarantine.accuse(HARMFUL.whole, "h/harmful", run, 0);
   }
-  quarantine.expire(HEARD);
-  t.true(isHeld(quarantine, HEARD));
+  quarantine.expire(DELAY);
+  t.true(isHeld(quarantine, DELAY));
 });
 
-test("quarantine: one that is answered everywhere is not suspected for the ends beside it", (t) => {
-  const quarantine = accusedOf(1);
-  t.is(quarantine.ends(ENDING), 1);
-  quarantine.clear(ENDING, 10);
-  quarantine.accuse(ENDING.whole, "h/ends", "s-7#1", 2_000);
-  t.is(quarantine.ends(ENDING), 0);
-  // Nor by another VM's word, which learns of it in turn.
-  const other = accusedOf(2);
+test("quarantine: crashes do not count against a request that was answered recently", (t) => {
+  const quarantine = quarantineAfter(1);
+  t.is(quarantine.ends(HARMFUL), 1);
+  quarantine.clear(HARMFUL, 10);
+  quarantine.accuse(HARMFUL.whole, "h/harmful", "s-7#1", 2_000);
+  t.is(quarantine.ends(HARMFUL), 0);
+  // Nor if another VM reports the crash; that VM learns of the answer in turn.
+  const other = quarantineAfter(2);
   quarantine.merge(other.suspects(3_000), 3_000);
-  t.is(quarantine.ends(ENDING), 0);
+  t.is(quarantine.ends(HARMFUL), 0);
   other.merge(quarantine.suspects(3_010), 3_010);
   other.merge(quarantine.notable(3_010), 3_010);
-  t.is(other.ends(ENDING), 0);
-  // An answer of long ago speaks for nothing.
-  quarantine.accuse(ENDING.whole, "h/ends", "s-8#1", 9_000);
-  t.is(quarantine.ends(ENDING), 1);
+  t.is(other.ends(HARMFUL), 0);
+  // An answer that is too old does not clear the request of a new crash.
+  quarantine.accuse(HARMFUL.whole, "h/harmful", "s-8#1", 9_000);
+  t.is(quarantine.ends(HARMFUL), 1);
 });
--- a/src/core/quarantine/run_permits.ts
+++ b/src/core/quarantine/run_permits.ts
@@ -1,61 +1,62 @@
 /**
- * Lets a request under which a server has ended run alone in the whole deployment.
+ * Limits a request under which a server crashed to one copy at a time in the whole
+ * deployment.
  *
- * Callers send copies of a request through all VMs, and an outage of its key gathers
- * them: all go to the next server in the same moment, and however many servers are
- * counted, each of their ends takes several copies along. So from the first end on a
- * copy needs a permit, of which there is one at a time, until the request has been
- * answered somewhere. The term holder issues it ({@linkcode PermitIssuer}); this is
- * the side of the VM that asks.
+ * Callers send copies of a request through all VMs. While its key is unavailable the
+ * copies are queued, and afterwards all of them are sent to the next server at once, so
+ * each crash affects several copies, whatever number of crashes is tolerated. After the
+ * first crash a copy therefore needs a permit, of which there is one at a time, until
+ * the request has been answered on any VM. The term holder issues permits
+ * ({@linkcode PermitIssuer}); this is the side of the requesting VM.
  *
  * @module
  */
 import * as z from "zod";
 
-/** Longest time for which one permit is good, in milliseconds. What a server that
- * does not answer does later can meet another copy. */
+/** Maximum validity of a permit, in milliseconds. A copy that a server runs for longer
+ * without a response may overlap with the next copy. */
 export const LONGEST_PERMIT = 2_000;
-/** Time for which the answer to a question for a permit is awaited, in
- * milliseconds. */
-const ANSWER_PATIENCE = 250;
-/** Longest time for which a denial holds, in milliseconds: the permit may be back long
- * before its time, and a VM asks so often at the most. */
-const LONGEST_DENIAL = 200;
-/** Time for which a VM that got no answer does not ask again, in milliseconds. */
-const UNANSWERED_PAUSE = 500;
-/** Permits that are remembered at the most; more are not asked for. */
+/** Timeout of a permit request, in milliseconds. */
+const ANSWER_TIMEOUT = 250;
+/** Maximum time for which a denial applies, in milliseconds. The permit may be released
+ * long before it expires; this limits how often a VM requests it again. */
+const MAXIMUM_DENIAL = 200;
+/** Time after a permit request timed out in which it is not repeated, in milliseconds. */
+const TIMEOUT_PAUSE = 500;
+/** Maximum number of permits that are kept; no further ones are requested. */
 const MAXIMUM_PERMITS = 1_024;
 
 /** Schema of {@linkcode PermitAnswer}. */
 export const permitAnswerSchema = z.object({
   isGranted: z.boolean(),
-  /** Milliseconds for which the permit is good, or in which none is issued. */
+  /** Milliseconds for which the permit is valid, or until one may be issued. */
   left: z.number().nonnegative(),
 });
 
-/** What the issuer answers. */
+/** The issuer's answer to a permit request. */
 export type PermitAnswer = z.infer<typeof permitAnswerSchema>;
 
-/** How this VM reaches the issuer. */
+/** The connection of this VM to the issuer. */
 export interface PermitChannel {
-  /** Asks for a permit for a request by its whole fingerprint; returns the answer if
-   * it is known at once, or null if {@linkcode RunPermits.told} brings it. */
+  /** Requests a permit for a request by its complete fingerprint. Returns the answer if
+   * it is available at once, or null if it will be passed to
+   * {@linkcode RunPermits.told}. */
   ask(request: string, duration: number, now: number): PermitAnswer | null;
-  /** Gives a permit back before its time; `hasEnded` where the server ended under
-   * the copy. */
+  /** Releases a permit before it expires; `hasEnded` if the server crashed under the
+   * copy. */
   giveBack(request: string, hasEnded: boolean): void;
 }
 
 /** Whether a copy may run now. */
 export type Permission =
   | { kind: "granted" }
-  /** The answer is awaited until then. */
+  /** A permit request is pending; it times out at `until`. */
   | { kind: "asked"; until: number }
-  /** Another copy runs, or nobody can tell. */
+  /** Another copy runs, or the issuer did not answer; `left` in milliseconds. */
   | { kind: "denied"; left: number };
 
 interface Permit {
-  /** The caller's id of the copy that it is for. */
+  /** Request id that the caller assigned to the copy. */
   copy: string;
   state: Permission["kind"];
   until: number;
@@ -63,18 +64,18 @@
 
 /** See the module's comment. Times are milliseconds of this VM's clock. */
 export class RunPermits {
-  /** By the request's whole fingerprint. */
+  /** Permits by the request's complete fingerprint. */
   readonly #permits = new Map<string, Permit>();
 
   private constructor(private readonly channel: PermitChannel) {}
 
-  /** No permits yet; they are asked for over `channel`. */
+  /** Starts without permits, which are requested over `channel`. */
   static create(channel: PermitChannel): RunPermits {
     return new RunPermits(channel);
   }
 
-  /** Whether a copy, by its caller's id, may run for `duration` milliseconds at the
-   * most; asks for a permit if need be. */
+  /** Whether a copy, identified by its request id, may run for up to `duration`
+   * milliseconds; requests a permit if necessary. */
   check(
     request: string,
     copy: string,
@@ -82,7 +83,7 @@
     now: number,
   ): Permission {
     const permit = this.#current(request, now);
-    if (permit === null) return this.#ask(request, copy, duration, now);
+    if (permit === null) return this.#request(request, copy, duration, now);
     const isOwn = permit.copy === copy;
     const { state, until } = permit;
     if (state === "granted" && isOwn) return { kind: "granted" };
@@ -90,7 +91,7 @@
     return { kind: "denied", left: until - now };
   }
 
-  /** The issuer has answered. */
+  /** Applies the issuer's answer. */
   told(
     request: string,
     { isGranted, left }: PermitAnswer,
@@ -98,16 +99,16 @@
   ): void {
     const permit = this.#permits.get(request);
     if (permit?.state !== "asked") {
-      // Its copy has gone meanwhile.
+      // The copy has ended in the meantime.
       if (isGranted) this.channel.giveBack(request, false);
       return;
     }
     permit.state = isGranted ? "granted" : "denied";
-    permit.until = now + (isGranted ? left : Math.min(left, LONGEST_DENIAL));
+    permit.until = now + (isGranted ? left : Math.min(left, MAXIMUM_DENIAL));
   }
 
-  /** A copy is done with. Unless it may still run at a server its permit is given
-   * back. */
+  /** Records the end of a copy, and releases its permit unless the copy may still run on
+   * a server. */
   ended(request: string, copy: string, mayStillRun: boolean): void {
     const permit = this.#permits.get(request);
     if (permit?.copy !== copy || permit.state === "denied") return;
@@ -117,7 +118,7 @@
     if (isGranted) this.channel.giveBack(request, false);
   }
 
-  /** The server has ended that ran a copy, which is over by that. */
+  /** Records that the server crashed that ran a copy, and releases its permit. */
   serverEnded(request: string, copy: string): void {
     const permit = this.#permits.get(request);
     if (permit?.copy !== copy || permit.state !== "granted") return;
@@ -131,27 +132,27 @@
     if (now < permit.until) return permit;
     if (permit.state === "asked") {
       permit.state = "denied";
-      permit.until = now + UNANSWERED_PAUSE;
+      permit.until = now + TIMEOUT_PAUSE;
       return permit;
     }
     this.#permits.delete(request);
     return null;
   }
 
-  #ask(
+  #request(
     request: string,
     copy: string,
     duration: number,
     now: number,
   ): Permission {
-    if (this.#permits.size >= MAXIMUM_PERMITS) this.#forgetOver(now);
+    if (this.#permits.size >= MAXIMUM_PERMITS) this.#removeExpired(now);
     if (this.#permits.size >= MAXIMUM_PERMITS) {
-      return { kind: "denied", left: UNANSWERED_PAUSE };
+      return { kind: "denied", left: TIMEOUT_PAUSE };
     }
-    const until = now + ANSWER_PATIENCE;
+    const until = now + ANSWER_TIMEOUT;
     this.#permits.set(request, { copy, state: "asked", until });
-    const most = Math.min(duration, LONGEST_PERMIT);
-    const answer = this.channel.ask(request, most, now);
+    const permitted = Math.min(duration, LONGEST_PERMIT);
+    const answer = this.channel.ask(request, permitted, now);
     if (answer === null) return { kind: "asked", until };
     this.told(request, answer, now);
     return answer.isGranted
@@ -159,7 +160,7 @@
       : { kind: "denied", left: answer.left };
   }
 
-  #forgetOver(now: number): void {
+  #removeExpired(now: number): void {
     for (const [request, { until }] of this.#permits) {
       if (now >= until) this.#permits.delete(request);
     }
--- a/src/core/quarantine/run_permits_test.ts
+++ b/src/core/quarantine/run_permits_test.ts
@@ -4,16 +4,16 @@
 import { LONGEST_PERMIT, RunPermits } from "./run_permits.ts";
 
 const REQUEST = "fingerprint";
-/** When an issuer that begins at 0 issues its first permit. */
-const OPEN_AT = LONGEST_PERMIT;
+/** When an issuer that is activated at 0 issues its first permit. */
+const ACTIVE_AT = LONGEST_PERMIT;
 
-function openIssuer(): PermitIssuer {
+function activeIssuer(): PermitIssuer {
   const issuer = PermitIssuer.create();
   issuer.begin(0);
   return issuer;
 }
 
-/** Permits of the VM at `address`, which reaches the issuer without delay. */
+/** Permits of the VM at `address`, which calls the issuer directly. */
 function permitsAt(address: string, issuer: PermitIssuer): RunPermits {
   return RunPermits.create({
     ask: (request, duration, now) =>
@@ -23,53 +23,53 @@
   });
 }
 
-test("run permits: copies at two VMs run one after the other", (t) => {
-  const issuer = openIssuer();
+test("run permits: copies on two VMs run one after the other", (t) => {
+  const issuer = activeIssuer();
   const a = permitsAt("a", issuer);
   const b = permitsAt("b", issuer);
-  t.is(a.check(REQUEST, "1", 800, OPEN_AT).kind, "granted");
-  t.is(a.check(REQUEST, "1", 800, OPEN_AT + 1).kind, "granted");
-  t.is(a.check(REQUEST, "2", 800, OPEN_AT + 1).kind, "denied");
-  t.is(b.check(REQUEST, "3", 800, OPEN_AT + 1).kind, "denied");
+  t.is(a.check(REQUEST, "1", 800, ACTIVE_AT).kind, "granted");
+  t.is(a.check(REQUEST, "1", 800, ACTIVE_AT + 1).kind, "granted");
+  t.is(a.check(REQUEST, "2", 800, ACTIVE_AT + 1).kind, "denied");
+  t.is(b.check(REQUEST, "3", 800, ACTIVE_AT + 1).kind, "denied");
   a.ended(REQUEST, "1", false);
-  // A denial holds for a while, though not for as long as the permit would.
-  t.is(b.check(REQUEST, "4", 800, OPEN_AT + 10).kind, "denied");
-  t.is(b.check(REQUEST, "4", 800, OPEN_AT + 300).kind, "granted");
+  // A denial applies for a while, but not for as long as the permit was valid.
+  t.is(b.check(REQUEST, "4", 800, ACTIVE_AT + 10).kind, "denied");
+  t.is(b.check(REQUEST, "4", 800, ACTIVE_AT + 300).kind, "granted");
 });
 
-test("run permits: one whose copy may still run is not given back", (t) => {
-  const issuer = openIssuer();
+test("run permits: a permit is not released while its copy may still run", (t) => {
+  const issuer = activeIssuer();
   const a = permitsAt("a", issuer);
-  a.check(REQUEST, "1", 800, OPEN_AT);
+  a.check(REQUEST, "1", 800, ACTIVE_AT);
   a.ended(REQUEST, "1", true);
-  t.is(a.check(REQUEST, "2", 800, OPEN_AT + 799).kind, "denied");
-  t.is(a.check(REQUEST, "2", 800, OPEN_AT + 800).kind, "granted");
+  t.is(a.check(REQUEST, "2", 800, ACTIVE_AT + 799).kind, "denied");
+  t.is(a.check(REQUEST, "2", 800, ACTIVE_AT + 800).kind, "granted");
 });
 
-test("permit issuer: after two ends in a row the next copy waits", (t) => {
-  const issuer = openIssuer();
+test("permit issuer: after two consecutive crashes the next copy waits", (t) => {
+  const issuer = activeIssuer();
   const a = permitsAt("a", issuer);
-  a.check(REQUEST, "1", 800, OPEN_AT);
+  a.check(REQUEST, "1", 800, ACTIVE_AT);
   a.serverEnded(REQUEST, "1");
-  t.is(a.check(REQUEST, "2", 800, OPEN_AT + 50).kind, "granted");
+  t.is(a.check(REQUEST, "2", 800, ACTIVE_AT + 50).kind, "granted");
   a.serverEnded(REQUEST, "2");
-  t.is(a.check(REQUEST, "3", 800, OPEN_AT + 800).kind, "denied");
-  t.is(a.check(REQUEST, "3", 800, OPEN_AT + 1_100).kind, "granted");
+  t.is(a.check(REQUEST, "3", 800, ACTIVE_AT + 800).kind, "denied");
+  t.is(a.check(REQUEST, "3", 800, ACTIVE_AT + 1_100).kind, "granted");
 });
 
-test("permit issuer: a new one issues nothing while permits of the former may be out", (t) => {
-  const issuer = openIssuer();
-  const before = OPEN_AT - 1;
+test("permit issuer: a new issuer waits until permits of the previous one have expired", (t) => {
+  const issuer = activeIssuer();
+  const before = ACTIVE_AT - 1;
   t.deepEqual(issuer.issue(REQUEST, "a", 800, before), {
     isGranted: false,
     left: 1,
   });
-  t.true(issuer.issue(REQUEST, "a", 800, OPEN_AT).isGranted);
+  t.true(issuer.issue(REQUEST, "a", 800, ACTIVE_AT).isGranted);
   issuer.end();
-  t.false(issuer.issue(REQUEST, "a", 800, OPEN_AT + 5_000).isGranted);
+  t.false(issuer.issue(REQUEST, "a", 800, ACTIVE_AT + 5_000).isGranted);
 });
 
-test("run permits: an answer that comes too late is given back", (t) => {
+test("run permits: a permit that is granted too late is released", (t) => {
   const returned: string[] = [];
   const permits = RunPermits.create({
     ask: () => null,
@@ -81,19 +81,19 @@
   t.deepEqual(returned, [REQUEST]);
 });
 
-test("run permits: whatever VMs do, one copy runs at a time", (t) => {
+test("run permits: one copy runs at a time for any sequence of events", (t) => {
   const step = fc.record({
     vm: fc.nat(3),
     after: fc.nat(600),
-    does: fc.constantFrom("check", "answered", "broken", "ended"),
+    does: fc.constantFrom("check", "answered", "broken", "crashed"),
   });
   fc.assert(
     fc.property(fc.array(step, { maxLength: 60 }), (steps) => {
-      const issuer = openIssuer();
+      const issuer = activeIssuer();
       const vms = ["a", "b", "c", "d"].map((each) => permitsAt(each, issuer));
-      /** The copy that each VM runs, and until when it may. */
+      /** The copy that each VM runs, and until when it may run. */
       const running = new Map<number, { copy: string; until: number }>();
-      let now = OPEN_AT;
+      let now = ACTIVE_AT;
       let count = 0;
       for (const { vm, after, does } of steps) {
         now += after;
@@ -110,7 +110,7 @@
             running.set(vm, { copy, until: now + duration });
           }
         } else if (own !== undefined && does !== "check") {
-          if (does === "ended") vms[vm].serverEnded(REQUEST, own.copy);
+          if (does === "crashed") vms[vm].serverEnded(REQUEST, own.copy);
           else vms[vm].ended(REQUEST, own.copy, does === "broken");
           if (does !== "broken") running.delete(vm);
         }
