--- a/src/core/rates/rate_share.ts
+++ b/src/core/rates/rate_share.ts
@@ -14,7 +14,7 @@
 
 /** See the module's comment. Times are milliseconds. */
 export class RateShare {
-  /** When the next request may be sent to a server, by its id. */
+  /** When the next request may be sent to a server, by the server's id. */
   readonly #nextAt = new Map<string, number>();
 
   private constructor(private readonly draw: () => number) {}
@@ -24,19 +24,19 @@
     return new RateShare(draw);
   }
 
-  /** Whether this VM may send a request to a server now, at one request per `pause`. */
-  mayTake(server: string, pause: number, now: number): boolean {
+  /** Whether this VM may send a request to a server now, at one request per `interval`. */
+  mayTake(server: string, interval: number, now: number): boolean {
     const known = this.#nextAt.get(server);
     // An older time belongs to an earlier limit of the server.
-    if (known !== undefined && now < known + pause) return now >= known;
-    if (this.#nextAt.size >= MAXIMUM_SERVERS) this.#forgetOldest();
-    this.#nextAt.set(server, now + this.draw() * pause);
+    if (known !== undefined && now < known + interval) return now >= known;
+    if (this.#nextAt.size >= MAXIMUM_SERVERS) this.#evictOldest();
+    this.#nextAt.set(server, now + this.draw() * interval);
     return false;
   }
 
-  /** A request was sent to a server. */
-  started(server: string, pause: number, now: number): void {
-    this.#nextAt.set(server, now + pause);
+  /** Records that a request was sent to a server. */
+  started(server: string, interval: number, now: number): void {
+    this.#nextAt.set(server, now + interval);
   }
 
   /** Discards the state of a server that no longer has a limit. */
@@ -44,7 +44,7 @@
     this.#nextAt.delete(server);
   }
 
-  #forgetOldest(): void {
+  #evictOldest(): void {
     const [oldest] = this.#nextAt.keys();
     this.#nextAt.delete(oldest);
   }
--- a/src/core/rates/rate_tokens.ts
+++ b/src/core/rates/rate_tokens.ts
@@ -19,27 +19,28 @@
 import { RateShare } from "./rate_share.ts";
 import type { TokenAnswer } from "./token_bucket.ts";
 
-/** Time for which the answer to a token request is awaited, in milliseconds. */
-const ANSWER_PATIENCE = 250;
-/** Time for which a VM that got no answer uses its share, in milliseconds. */
+/** Timeout of a token request, in milliseconds. */
+const ANSWER_TIMEOUT = 250;
+/** Time for which a VM uses its share after a token request timed out, in
+ * milliseconds. */
 const SHARE_DURATION = 1_000;
-/** Time for which a granted token is valid, in milliseconds. The request that it was
- * asked for may have ended in the meantime. */
+/** Time for which a granted token is valid, in milliseconds. The request that needed it
+ * may have ended in the meantime. */
 const TOKEN_LIFETIME = 1_000;
 /** Longest time for which a denial applies, in milliseconds, since the limit may change
  * in the meantime. */
-const LONGEST_DENIAL = 500;
+const MAXIMUM_DENIAL = 500;
 /** Number of VMs assumed to share a server while the actual number is unknown. */
-const UNKNOWN_VMS = 64;
+const ASSUMED_VM_COUNT = 64;
 /** Number of states at which expired ones are removed. */
 const MAXIMUM_SERVERS = 1_024;
 /** Milliseconds in a second. */
-const SECOND = 1_000;
+const MILLISECONDS_PER_SECOND = 1_000;
 
-/** How this VM reaches the term holder's buckets. */
+/** The connection of this VM to the term holder's token buckets. */
 export interface TokenChannel {
-  /** Asks for a token for a server. Returns the answer if it is known at once, or null
-   * if it will be passed to {@linkcode RateTokens.told}. */
+  /** Requests a token for a server. Returns the answer if it is available at once, or
+   * null if it will be passed to {@linkcode RateTokens.told}. */
   ask(
     server: TrackedServer,
     isUrgent: boolean,
@@ -50,9 +51,9 @@
 /** Whether a request may be sent to a server now. */
 export type Admission =
   | { kind: "ready" }
-  /** The answer to a token request is awaited until then. */
+  /** A token request is pending; it times out at `until`. */
   | { kind: "asked"; until: number }
-  /** No token is available until then. */
+  /** No token is available before `until`. */
   | { kind: "denied"; until: number };
 
 type TokenState =
@@ -65,7 +66,7 @@
 
 /** See the module's comment. Times are milliseconds of this VM's clock. */
 export class RateTokens {
-  /** States by the server's id. */
+  /** Token states by the server's id. */
   readonly #states = new Map<string, TokenState>();
   readonly #share: RateShare;
 
@@ -99,7 +100,7 @@
     const { kind } = this.#current(server.id, now);
     if (kind === "granted") return true;
     return kind === "shared" &&
-      this.#share.mayTake(server.id, this.#pause(limit), now);
+      this.#share.mayTake(server.id, this.#interval(limit), now);
   }
 
   /** Whether a server needs a token and none is held, requested or denied. The denial
@@ -128,18 +129,18 @@
     const state = this.#current(server.id, now);
     switch (state.kind) {
       case "none":
-        return this.#ask(server, isUrgent, now);
+        return this.#request(server, isUrgent, now);
       case "granted":
         return { kind: "ready" };
       case "denied":
         return isUrgent && !state.isUrgent
-          ? this.#ask(server, isUrgent, now)
+          ? this.#request(server, isUrgent, now)
           : state;
       case "asked":
         return state;
       case "shared": {
-        const pause = this.#pause(limit);
-        const mayTake = this.#share.mayTake(server.id, pause, now);
+        const interval = this.#interval(limit);
+        const mayTake = this.#share.mayTake(server.id, interval, now);
         return mayTake
           ? { kind: "ready" }
           : { kind: "denied", until: state.until };
@@ -147,23 +148,23 @@
     }
   }
 
-  /** A request was sent to a server; uses up the token or the share. */
+  /** Records that a request was sent to a server, which uses the token or the share. */
   started(server: TrackedServer, now: number): void {
     const limit = server.rate.current(now);
     if (limit === null) return;
     const state = this.#states.get(server.id);
     if (state?.kind === "granted") this.#states.delete(server.id);
     if (state?.kind !== "shared") return;
-    this.#share.started(server.id, this.#pause(limit), now);
+    this.#share.started(server.id, this.#interval(limit), now);
   }
 
-  /** The holder has answered a token request. */
+  /** Applies the term holder's answer to a token request. */
   told(server: string, { isGranted, left }: TokenAnswer, now: number): void {
     const state = this.#states.get(server);
     if (state?.kind !== "asked") return;
     const { isUrgent } = state;
     const until = now +
-      (isGranted ? TOKEN_LIFETIME : Math.min(left, LONGEST_DENIAL));
+      (isGranted ? TOKEN_LIFETIME : Math.min(left, MAXIMUM_DENIAL));
     this.#states.set(
       server,
       isGranted
@@ -182,9 +183,9 @@
     return shared;
   }
 
-  #ask(server: TrackedServer, isUrgent: boolean, now: number): Admission {
-    if (this.#states.size >= MAXIMUM_SERVERS) this.#forgetOver(now);
-    const until = now + ANSWER_PATIENCE;
+  #request(server: TrackedServer, isUrgent: boolean, now: number): Admission {
+    if (this.#states.size >= MAXIMUM_SERVERS) this.#removeExpired(now);
+    const until = now + ANSWER_TIMEOUT;
     this.#states.set(server.id, { kind: "asked", until, isUrgent });
     const answer = this.channel.ask(server, isUrgent, now);
     if (answer === null) return { kind: "asked", until };
@@ -198,11 +199,12 @@
   }
 
   /** Time between two requests of this VM at its share of a limit. */
-  #pause(requestsPerSecond: number): number {
-    return SECOND * (this.vms() ?? UNKNOWN_VMS) / requestsPerSecond;
+  #interval(requestsPerSecond: number): number {
+    return MILLISECONDS_PER_SECOND * (this.vms() ?? ASSUMED_VM_COUNT) /
+      requestsPerSecond;
   }
 
-  #forgetOver(now: number): void {
+  #removeExpired(now: number): void {
     for (const [server, state] of this.#states) {
       if (state.kind !== "none" && now < state.until) continue;
       this.#states.delete(server);
--- a/src/core/rates/rate_tokens_test.ts
+++ b/src/core/rates/rate_tokens_test.ts
@@ -3,7 +3,7 @@
 import { Fleet, type TrackedServer } from "../fleet/index.ts";
 import { RateTokens, type TokenChannel } from "./rate_tokens.ts";
 
-/** A server with a limit of `requestsPerSecond` from 0 on. */
+/** A server with a limit of `requestsPerSecond` since time 0. */
 function limitedServer(requestsPerSecond: number): TrackedServer {
   const fleet = Fleet.create();
   fleet.apply([backendServer("s")], [], 0);
@@ -12,38 +12,38 @@
   return server;
 }
 
-function tokensOver(ask: TokenChannel["ask"], vms = 10): RateTokens {
+function tokensWith(ask: TokenChannel["ask"], vms = 10): RateTokens {
   return RateTokens.create({ ask }, () => vms, () => 0.5);
 }
 
 test("rate tokens: a server without a limit needs none", (t) => {
-  const tokens = tokensOver(() => t.fail());
+  const tokens = tokensWith(() => t.fail());
   const fleet = Fleet.create();
   fleet.apply([backendServer("s")], [], 0);
   t.is(tokens.check(fleet.get("s")!, true, 0).kind, "ready");
 });
 
 test("rate tokens: each granted token permits one request", (t) => {
-  let asked = 0;
-  const tokens = tokensOver(() => {
-    asked += 1;
+  let requested = 0;
+  const tokens = tokensWith(() => {
+    requested += 1;
     return null;
   });
   const server = limitedServer(5);
   t.is(tokens.check(server, true, 0).kind, "asked");
   t.is(tokens.check(server, true, 1).kind, "asked");
-  t.is(asked, 1);
+  t.is(requested, 1);
   tokens.told("s", { isGranted: true, left: 0 }, 4);
   t.is(tokens.check(server, true, 5).kind, "ready");
   tokens.started(server, 5);
   t.is(tokens.check(server, true, 6).kind, "asked");
-  t.is(asked, 2);
+  t.is(requested, 2);
 });
 
 test("rate tokens: no token is requested again while a denial applies", (t) => {
-  const asked: boolean[] = [];
-  const tokens = tokensOver((_server, isUrgent) => {
-    asked.push(isUrgent);
+  const requested: boolean[] = [];
+  const tokens = tokensWith((_server, isUrgent) => {
+    requested.push(isUrgent);
     return { isGranted: false, left: 200 };
   });
   const server = limitedServer(5);
@@ -53,15 +53,16 @@
     isUrgent: false,
   });
   tokens.check(server, false, 199);
-  t.deepEqual(asked, [false]);
+  t.deepEqual(requested, [false]);
   // A token is reserved for the most urgent requests.
   tokens.check(server, true, 199);
-  t.deepEqual(asked, [false, true]);
+  t.deepEqual(requested, [false, true]);
 });
 
-// Guards against stalled requests or an unlimited rate while the holder is unreachable.
-test("rate tokens: a VM without an answer from the holder uses its share", (t) => {
-  const tokens = tokensOver(() => null);
+// Guards against stalled requests or an unlimited rate while the term holder is
+// unreachable.
+test("rate tokens: a VM uses its share while the term holder does not answer", (t) => {
+  const tokens = tokensWith(() => null);
   const server = limitedServer(5);
   let sent = 0;
   for (let now = 0; now < 9_000; now += 10) {
@@ -69,6 +70,6 @@
     tokens.started(server, now);
     sent += 1;
   }
-  // A tenth of 5 requests per second, less the time spent waiting for answers.
+  // A tenth of 5 requests per second, less the time spent on timeouts.
   t.true(sent >= 3 && sent <= 5, `${sent} in 9 s`);
 });
--- a/src/core/rates/token_bucket.ts
+++ b/src/core/rates/token_bucket.ts
@@ -1,6 +1,6 @@
 /**
- * Token buckets that limit the requests of all VMs to rate-limited servers; kept by the
- * term holder.
+ * Token buckets that limit the requests of all VMs to rate-limited servers. The term
+ * holder maintains them.
  *
  * Implements the generic cell rate algorithm: a bucket is represented by its theoretical
  * arrival time, which is the time at which it is full again if no token is taken.
@@ -19,7 +19,7 @@
 /** Number of buckets at which full ones are removed. */
 const MAXIMUM_BUCKETS = 1_024;
 /** Milliseconds in a second. */
-const SECOND = 1_000;
+const MILLISECONDS_PER_SECOND = 1_000;
 
 /** Schema of {@linkcode TokenAnswer}. */
 export const tokenAnswerSchema = z.object({
@@ -44,8 +44,8 @@
     return new TokenBuckets();
   }
 
-  /** This VM holds the term from now on. All buckets start empty, since the tokens that
-   * the previous holder granted are unknown. */
+  /** Resets the buckets once this VM holds the term. They start empty, since the tokens
+   * that the previous holder granted are unknown. */
   begin(now: number): void {
     this.#buckets.clear();
     this.#termStartedAt = now;
@@ -58,7 +58,7 @@
     isUrgent: boolean,
     now: number,
   ): TokenAnswer {
-    const interval = SECOND / requestsPerSecond;
+    const interval = MILLISECONDS_PER_SECOND / requestsPerSecond;
     const capacity = Math.max(MINIMUM_BURST, BURST_TIME / interval) +
       RESERVED_TOKENS;
     const reserved = isUrgent ? 0 : RESERVED_TOKENS;
@@ -70,7 +70,7 @@
     return { isGranted: true, left: 0 };
   }
 
-  /** When a bucket is full; it takes `refillTime` to fill an empty one. */
+  /** When a server's bucket is full; it takes `refillTime` to fill an empty one. */
   #fullAt(server: string, refillTime: number): number {
     return this.#buckets.get(server) ?? this.#termStartedAt + refillTime;
   }
