--- a/src/core/fleet/fleet.ts
+++ b/src/core/fleet/fleet.ts
@@ -22,8 +22,8 @@
 /**
  * Time for which a server is still used after its entry became unreadable, in
  * milliseconds: one heartbeat, with which a running server rewrites its entry, plus one
- * read of the registry. An entry that another writer overwrote thus fails no request;
- * a server that has ended is still detected by its failures.
+ * read of the registry. No request then fails because another writer has overwritten an
+ * entry; a server that has ended is still detected by its failures.
  */
 const UNREADABLE_ENTRY_TIMEOUT = 1_500;
 
@@ -134,8 +134,8 @@
     return this.apply(usable, [], now);
   }
 
-  /** Checks servers known only from other VMs against the registry, whose content at a
-   * position is known again. Unlisted ones are removed, unless an entry follows. */
+  /** Checks the servers that are known only from other VMs once the registry has been
+   * read again. Unlisted ones are removed after a delay, unless an entry follows. */
   confirm(isListed: (id: string) => boolean, now: number): void {
     for (const id of this.#unconfirmed) {
       if (!isListed(id)) this.#removeLater(id, now);
--- a/src/core/fleet/tracked_server.ts
+++ b/src/core/fleet/tracked_server.ts
@@ -11,7 +11,8 @@
 /** Weight of the newest sample in exponential moving averages. */
 const SAMPLE_WEIGHT = 0.2;
 /** Time constant with which the load of other VMs decays after a report, in
- * milliseconds; about the duration of a request. A report is recent for as long. */
+ * milliseconds; about the duration of a request. Also the time for which a report counts
+ * as recent. */
 const LOAD_DECAY_TIME = 300;
 /** Time for which a load report to another VM is used, in milliseconds. It is relayed by
  * the term holder, which takes half a second in each direction. */
--- a/src/core/quarantine/crash_watch.ts
+++ b/src/core/quarantine/crash_watch.ts
@@ -31,7 +31,7 @@
 const INITIAL_PROBE_PAUSE = 1_000;
 const MAXIMUM_PROBE_PAUSE = 16_000;
 
-/** Requests a probe whether a server's address accepts connections; its result is the
+/** Effect that probes whether a server's address accepts connections. The result is the
  * event `server.checked`. */
 export interface ServerCheck {
   kind: "server.check";
--- a/src/core/quarantine/run_permits.ts
+++ b/src/core/quarantine/run_permits.ts
@@ -118,7 +118,7 @@
     if (isGranted) this.channel.giveBack(request, false);
   }
 
-  /** Records that the server crashed that ran a copy, and releases its permit. */
+  /** Records that the server that ran a copy crashed, and releases the copy's permit. */
   serverEnded(request: string, copy: string): void {
     const permit = this.#permits.get(request);
     if (permit?.copy !== copy || permit.state !== "granted") return;
