--- a/src/stand_ins/backend_service.ts
+++ b/src/stand_ins/backend_service.ts
@@ -1,9 +1,10 @@
 /**
- * Stand-in of a backend server: registers itself, holds keys by grants, runs so
- * many requests at a time, sheds or resets the rest, and records all that ran.
+ * Stand-in for a backend server: registers itself in the store, holds keys under
+ * leases that it is granted, runs a bounded number of requests concurrently, sheds or
+ * resets the rest, and records every request that ran.
  *
- * `POST` answers with the body that was sent; `PUT` stores the body under the
- * path; `GET` answers with what is stored there.
+ * `POST` returns the body that was sent; `PUT` stores the body under the path; `GET`
+ * returns the body that is stored there.
  *
  * @module
  */
@@ -15,56 +16,57 @@
 import type { Run } from "../load/history.ts";
 import { errorText } from "../errors/index.ts";
 import { addressSchema } from "../settings/address.ts";
-import { readBytes, readJson, sendJson, StandIn } from "./stand_in.ts";
+import { readBody, readJson, sendJson, StandIn } from "./stand_in.ts";
 import { FAULTS_PATH } from "./store_service.ts";
 import { frameRecord, HEADER, REGISTRY_TOPIC } from "./wire.ts";
 import { WorkQueue } from "./work_queue.ts";
 
 /** Settings of the stand-in. Durations are milliseconds. */
 export const backendServiceSchema = z.strictObject({
-  /** Names the server; a process that starts again may keep it. */
+  /** Id of the server; it may stay the same when the process restarts. */
   id: z.string().min(1),
   service: z.string().min(1),
   availabilityZone: z.string().default("a"),
   listen: addressSchema,
-  /** Address under which it registers itself, if it is reached through
-   * something else. */
+  /** Address under which it registers itself, if it differs from the one at which it
+   * listens, for example behind a proxy. */
   advertised: addressSchema.optional(),
   /** Address of the store. */
   store: addressSchema,
   keyed: z.boolean().default(false),
   slots: z.number().int().positive().default(3),
-  /** Requests that wait for a slot before others are refused. */
+  /** Maximum requests that wait for a slot; further ones are refused. */
   queue: z.number().int().nonnegative().default(12),
-  /** Whether it resets connections when it is full, instead of refusing. */
+  /** Whether it resets the connection when the queue is full, instead of refusing the
+   * request. */
   resetsWhenFull: z.boolean().default(false),
-  /** Time that a request takes. */
+  /** Processing time of a request. */
   work: z.number().nonnegative().default(1),
   heartbeatInterval: z.number().positive().default(870),
-  /** Path, with its query, whose requests end the process that has worked on one:
-   * no answer is given, and all that it has is reset. None if absent. */
+  /** Path with query whose requests terminate the process after they ran: no answer is
+   * sent, and all its connections are reset. None if absent. */
   endedBy: z.string().optional(),
-  /** File to which each run is written as it starts; none if absent. */
+  /** File to which each run is appended when it starts; none if absent. */
   runsFile: z.string().optional(),
 });
 
 /** See {@linkcode backendServiceSchema}. */
 export type BackendServiceSettings = z.infer<typeof backendServiceSchema>;
 
-/** Faults of the stand-in; all are off at the start. */
+/** Faults that can be injected; all are off initially. */
 export const backendFaultsSchema = z.strictObject({
-  /** It refuses everything. */
+  /** Refuses all requests. */
   shed: z.boolean().default(false),
-  /** Answers that are lost after the request ran. */
+  /** Number of next requests that run but get no answer. */
   loseAnswers: z.number().int().nonnegative().default(0),
-  /** Answers that name another request. */
+  /** Number of next answers that carry the id of another request. */
   crossed: z.number().int().nonnegative().default(0),
-  /** It says that it is about to leave. */
+  /** Registers itself as draining. */
   draining: z.boolean().default(false),
-  /** Time that a request takes instead of the one in the settings. */
+  /** Processing time of a request, which overrides the one in the settings. */
   work: z.number().nonnegative().nullable().default(null),
-  /** Rate limit that it states, in requests per second from all entries combined; it does
-   * not enforce it. */
+  /** Rate limit that it reports, in requests per second from all VMs combined; it does
+   * not enforce the limit. */
   rateLimit: z.string().nullable().default(null),
 });
 
@@ -79,22 +81,23 @@
 });
 const releaseSchema = grantSchema.omit({ holdTime: true });
 
-interface Holding {
+interface GrantedRange {
   from: number;
   target: number;
   token: number;
-  until: number;
+  expiresAt: number;
 }
 
 /** See the module's comment. */
 export class BackendService extends StandIn {
   readonly #startedAt = Date.now();
   readonly #queue: WorkQueue;
-  readonly #state = new Map<string, Buffer>();
-  readonly #seen: { from: number; target: number; token: number }[] = [];
+  readonly #stored = new Map<string, Buffer>();
+  readonly #receivedOrders: { from: number; target: number; token: number }[] =
+    [];
   readonly #runs: Run[] = [];
   readonly #heartbeat: NodeJS.Timeout;
-  #holdings: Holding[] = [];
+  #grantedRanges: GrantedRange[] = [];
   #isDraining = false;
   #sequence = 0;
   #faults: BackendFaults = backendFaultsSchema.parse({});
@@ -109,7 +112,7 @@
     this.#heartbeat.unref();
   }
 
-  /** Starts the stand-in. */
+  /** Starts the stand-in and resolves after it has registered itself. */
   static async start(
     settings: BackendServiceSettings,
   ): Promise<BackendService> {
@@ -119,18 +122,18 @@
     return backend;
   }
 
-  /** All that ran. */
+  /** All requests that ran, in the order of their start. */
   get runs(): readonly Run[] {
     return this.#runs;
   }
 
-  /** Switches faults. */
+  /** Sets the given faults and leaves the others as they are. */
   set(faults: Partial<BackendFaults>): void {
     this.#faults = { ...this.#faults, ...faults };
     if (this.#faults.draining && !this.#isDraining) void this.drain();
   }
 
-  /** Says that it is about to leave. */
+  /** Registers itself as draining. */
   async drain(): Promise<void> {
     this.#isDraining = true;
     await this.#register();
@@ -162,86 +165,86 @@
         this.set(backendFaultsSchema.parse(await readJson(request)));
         return sendJson(response, 200, this.#faults);
       default:
-        return await this.#serve(request, response);
+        return await this.#handleRequest(request, response);
     }
   }
 
   #grant(grant: z.infer<typeof grantSchema>, response: ServerResponse): void {
-    const isOld = this.#seen.some((each) =>
+    const isSuperseded = this.#receivedOrders.some((each) =>
       each.from <= grant.target && grant.from <= each.target &&
       each.token > grant.token
     );
-    if (isOld) return sendJson(response, 409, {});
-    this.#seen.push(grant);
-    this.#cut(grant);
-    const until = Date.now() + grant.holdTime;
-    this.#holdings.push({ ...grant, until });
+    if (isSuperseded) return sendJson(response, 409, {});
+    this.#receivedOrders.push(grant);
+    this.#removeRange(grant);
+    const expiresAt = Date.now() + grant.holdTime;
+    this.#grantedRanges.push({ ...grant, expiresAt });
     sendJson(response, 200, {});
   }
 
   #release(order: z.infer<typeof releaseSchema>, response: ServerResponse) {
-    this.#seen.push(order);
-    this.#cut(order);
+    this.#receivedOrders.push(order);
+    this.#removeRange(order);
     response.setHeader(HEADER.handover, `handover-${this.settings.id}`);
     sendJson(response, 200, {});
   }
 
-  #cut({ from, target }: { from: number; target: number }): void {
-    this.#holdings = this.#holdings.flatMap((each) => {
+  #removeRange({ from, target }: { from: number; target: number }): void {
+    this.#grantedRanges = this.#grantedRanges.flatMap((each) => {
       if (each.target < from || each.from > target) return [each];
-      const parts: Holding[] = [];
+      const parts: GrantedRange[] = [];
       if (each.from < from) parts.push({ ...each, target: from - 1 });
       if (each.target > target) parts.push({ ...each, from: target + 1 });
       return parts;
     });
   }
 
-  async #serve(
+  async #handleRequest(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
-    const body = await readBytes(request);
+    const body = await readBody(request);
     const id = String(request.headers[HEADER.requestId] ?? "");
     response.setHeader(HEADER.requestId, id);
     response.setHeader(HEADER.server, this.settings.id);
-    const holding = this.#holding(request);
+    const range = this.#findGrantedRange(request);
     const isMisdirected = this.#isMisdirected(request);
-    if (isMisdirected || (this.settings.keyed && holding === undefined)) {
+    if (isMisdirected || (this.settings.keyed && range === undefined)) {
       return refuse(response, 421);
     }
     if (this.#faults.shed) return refuse(response, 503);
-    if (!await this.#queue.enter()) {
+    if (!await this.#queue.acquire()) {
       if (!this.settings.resetsWhenFull) return refuse(response, 503);
       return void request.socket.destroy();
     }
     try {
       if (response.destroyed) return;
-      await this.#run(request, id, holding);
-      if (request.url === this.settings.endedBy) return endProcess();
-      this.#answer(request, response, body, id);
+      await this.#run(request, id, range);
+      if (request.url === this.settings.endedBy) return killProcess();
+      this.#respond(request, response, body, id);
     } finally {
-      this.#queue.leave();
+      this.#queue.release();
     }
   }
 
-  /** Whether the call is meant for another run. */
+  /** Whether the request is addressed to another server. */
   #isMisdirected(request: IncomingMessage): boolean {
     const expected = request.headers[HEADER.expectedServer];
     return expected !== undefined && expected !== this.settings.id;
   }
 
-  #holding(request: IncomingMessage): Holding | undefined {
+  #findGrantedRange(request: IncomingMessage): GrantedRange | undefined {
     const key = Number(request.headers[HEADER.key]);
     const now = Date.now();
-    return this.#holdings.find((each) =>
-      each.from <= key && key <= each.target && each.until > now
+    return this.#grantedRanges.find((each) =>
+      each.from <= key && key <= each.target && each.expiresAt > now
     );
   }
 
   async #run(
     request: IncomingMessage,
     id: string,
-    holding: Holding | undefined,
+    range: GrantedRange | undefined,
   ): Promise<void> {
     const key = request.headers[HEADER.key];
     const run: Run = {
@@ -251,21 +254,21 @@
       method: request.method ?? "",
       service: this.settings.service,
       key: key === undefined ? null : Number(key),
-      token: holding?.token ?? null,
+      token: range?.token ?? null,
       startedAt: Date.now(),
       endedAt: 0,
     };
     this.#runs.push(run);
     const { runsFile, work } = this.settings;
     if (runsFile !== undefined) {
-      // Written at once, so that it outlives the process.
+      // Written synchronously, so that the line survives a crash of the process.
       appendFileSync(runsFile, `${JSON.stringify(run)}\n`);
     }
     await delay(this.#faults.work ?? work);
     run.endedAt = Date.now();
   }
 
-  #answer(
+  #respond(
     request: IncomingMessage,
     response: ServerResponse,
     body: Buffer,
@@ -280,9 +283,9 @@
       response.setHeader(HEADER.requestId, `${id}-other`);
     }
     const path = request.url ?? "/";
-    if (request.method === "PUT") this.#state.set(path, body);
+    if (request.method === "PUT") this.#stored.set(path, body);
     const answer = request.method === "GET"
-      ? this.#state.get(path) ?? Buffer.alloc(0)
+      ? this.#stored.get(path) ?? Buffer.alloc(0)
       : body;
     const { running, waiting, slots } = this.#queue;
     response.setHeader(HEADER.load, `${running},${waiting},${slots}`);
@@ -296,7 +299,7 @@
     response.end(answer);
   }
 
-  /** Writes its entry to the store; the next heartbeat makes up for a failure. */
+  /** Writes its entry to the store. A failure is logged; the next heartbeat retries. */
   async #register(): Promise<void> {
     const { id, service, availabilityZone, slots, store } = this.settings;
     this.#sequence += 1;
@@ -323,12 +326,12 @@
   }
 }
 
-/** Ends this process as a fault in it would, with nothing said to anybody. */
-function endProcess(): void {
+/** Simulates a crash: kills this process without cleanup or notice. */
+function killProcess(): void {
   process.kill(process.pid, "SIGKILL");
 }
 
-/** States that the request did not run. */
+/** Refuses a request, stating that it did not run. */
 function refuse(response: ServerResponse, status: number): void {
   response.setHeader(HEADER.notRun, "1");
   sendJson(response, status, {});
--- a/src/stand_ins/producers.ts
+++ b/src/stand_ins/producers.ts
@@ -1,20 +1,20 @@
 /**
- * What a topic of the store's stand-in knows of its producers: the newest epoch
- * of each, and the answers to its last appends, which a repeat is given again.
+ * Producer state of a topic in the stand-in store: the newest epoch of each producer,
+ * and the answers to its last appends, which are returned again for a repeated append.
  *
  * @module
  */
 
-/** Appends of a producer that are known again when they are repeated. */
-const REMEMBERED_APPENDS = 5;
+/** Number of appends of a producer whose answers are retained. */
+const RETAINED_ANSWERS = 5;
 
-/** What an append was answered. */
+/** Answer to an append: the offset of its first record, and where the log then ends. */
 export interface AppendAnswer {
   offset: number;
   end: number;
 }
 
-/** By what a repeat of an append is known, whoever sends it. */
+/** Identifies an append, so that a repetition is recognized whoever sends it. */
 interface AppendIdentity {
   producer: string;
   epoch: number;
@@ -23,62 +23,62 @@
 
 interface Producer {
   epoch: number;
-  /** Answers by sequence, the oldest first. */
+  /** Answers by sequence, oldest first. */
   answers: Map<number, AppendAnswer>;
 }
 
-/** See the module's comment. Queries are those of appends. */
-export class Producers {
-  readonly #known = new Map<string, Producer>();
+/** See the module's comment. Each `query` is the query of an append. */
+export class ProducerTable {
+  readonly #producers = new Map<string, Producer>();
 
   private constructor() {}
 
-  /** A topic to which no producer has appended. */
-  static create(): Producers {
-    return new Producers();
+  /** Creates the state of a topic to which no producer has appended. */
+  static create(): ProducerTable {
+    return new ProducerTable();
   }
 
-  /** The answer to the append that this one repeats, if it does. */
-  answerTo(query: URLSearchParams): AppendAnswer | undefined {
-    const identity = identityOf(query);
+  /** Returns the answer to the append that this one repeats, if there is one. */
+  findRepeatedAnswer(query: URLSearchParams): AppendAnswer | undefined {
+    const identity = parseIdentity(query);
     if (identity === null) return undefined;
-    return this.#answers(identity)?.get(identity.sequence);
+    return this.#currentAnswers(identity)?.get(identity.sequence);
   }
 
-  /** Why an append that repeats none is refused, or null. */
-  refusal(query: URLSearchParams): object | null {
-    const identity = identityOf(query);
+  /** Returns the reason why a new append is rejected, or null if it is accepted. */
+  checkAppend(query: URLSearchParams): object | null {
+    const identity = parseIdentity(query);
     if (identity === null) return null;
     const { producer, epoch, sequence } = identity;
-    const known = this.#known.get(producer);
+    const known = this.#producers.get(producer);
     if (known !== undefined && epoch < known.epoch) return { why: "fenced" };
-    const answers = this.#answers(identity);
+    const answers = this.#currentAnswers(identity);
     if (answers === undefined) return null;
     const expected = Math.max(...answers.keys()) + 1;
     return sequence === expected ? null : { why: "seq", sequence: expected };
   }
 
-  /** An append was done. */
-  note(query: URLSearchParams, answer: AppendAnswer): void {
-    const identity = identityOf(query);
+  /** Records the answer to a completed append. */
+  recordAppend(query: URLSearchParams, answer: AppendAnswer): void {
+    const identity = parseIdentity(query);
     if (identity === null) return;
     const { producer, epoch, sequence } = identity;
-    const answers = this.#answers(identity) ?? new Map();
+    const answers = this.#currentAnswers(identity) ?? new Map();
     answers.set(sequence, answer);
     const [oldest] = answers.keys();
-    if (answers.size > REMEMBERED_APPENDS) answers.delete(oldest);
-    this.#known.set(producer, { epoch, answers });
+    if (answers.size > RETAINED_ANSWERS) answers.delete(oldest);
+    this.#producers.set(producer, { epoch, answers });
   }
 
-  /** Answers given under this epoch of a producer, if it is the newest. */
-  #answers({ producer, epoch }: AppendIdentity) {
-    const known = this.#known.get(producer);
+  /** Returns the answers for this epoch of a producer if it is the newest one. */
+  #currentAnswers({ producer, epoch }: AppendIdentity) {
+    const known = this.#producers.get(producer);
     return known?.epoch === epoch ? known.answers : undefined;
   }
 }
 
-/** The identity of an append; null where its query names no producer. */
-function identityOf(query: URLSearchParams): AppendIdentity | null {
+/** Parses the identity of an append; null if its query names no producer. */
+function parseIdentity(query: URLSearchParams): AppendIdentity | null {
   const producer = query.get("producer");
   if (producer === null) return null;
   const epoch = Number(query.get("epoch"));
--- a/src/stand_ins/stand_in.ts
+++ b/src/stand_ins/stand_in.ts
@@ -1,5 +1,5 @@
 /**
- * What the stand-ins share: a small HTTP service that answers in JSON.
+ * Base of the stand-ins: a small HTTP service that answers in JSON.
  *
  * @module
  */
@@ -12,7 +12,7 @@
 import type { AddressInfo } from "node:net";
 import { parseAddress } from "../settings/address.ts";
 
-/** A stand-in: one HTTP server at an address of its own. */
+/** A simulated service of the surrounding platform: an HTTP server at its own address. */
 export abstract class StandIn {
   readonly #server: Server;
 
@@ -25,31 +25,32 @@
     });
   }
 
-  /** The address it listens at. */
+  /** The address at which it listens. */
   get address(): string {
     const { address, port } = this.#server.address() as AddressInfo;
     return `${address}:${port}`;
   }
 
-  /** Closes the server and its connections. */
+  /** Closes the server and all its connections. */
   close(): void {
     this.#server.close();
     this.#server.closeAllConnections();
   }
 
-  /** Answers one request. */
+  /** Handles one request. An error is answered with status 400. */
   protected abstract handle(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void>;
 
-  /** Bounds the connections, and keeps idle ones for a while. */
-  protected limit(connections: number, keepAlive: number): void {
+  /** Sets the maximum number of connections, and the time in milliseconds for which
+   * idle ones are kept. */
+  protected limitConnections(connections: number, keepAlive: number): void {
     this.#server.maxConnections = connections;
     this.#server.keepAliveTimeout = keepAlive;
   }
 
-  /** Listens at `address`; port 0 takes any. Rejects when it is in use. */
+  /** Listens at `address`; port 0 selects a free port. Rejects if it is in use. */
   protected listen(address: string): Promise<void> {
     const { host, port } = parseAddress(address);
     return new Promise((resolve, reject) => {
@@ -59,7 +60,7 @@
   }
 }
 
-/** Answers with a JSON value. */
+/** Sends `value` as a JSON answer. */
 export function sendJson(
   response: ServerResponse,
   status: number,
@@ -69,14 +70,14 @@
   response.end(JSON.stringify(value));
 }
 
-/** The whole body of a request. */
-export async function readBytes(request: IncomingMessage): Promise<Buffer> {
+/** Reads the whole body of a request. */
+export async function readBody(request: IncomingMessage): Promise<Buffer> {
   const chunks: Buffer[] = [];
   for await (const chunk of request) chunks.push(chunk as Buffer);
   return Buffer.concat(chunks);
 }
 
-/** The body of a request as JSON. */
+/** Reads the body of a request as JSON. */
 export async function readJson(request: IncomingMessage): Promise<unknown> {
-  return JSON.parse((await readBytes(request)).toString("utf8"));
+  return JSON.parse((await readBody(request)).toString("utf8"));
 }
--- a/src/stand_ins/store_service.ts
+++ b/src/stand_ins/store_service.ts
@@ -1,7 +1,7 @@
 /**
- * Stand-in of the platform's store: a log with keyed topics, conditional
- * appends, producers with epochs, and groups that share partitions, with faults
- * that are switched while it runs.
+ * Stand-in for the platform's store: a log with keyed topics, conditional appends,
+ * producers with epochs, and groups whose members share partitions. Faults can be
+ * injected while it runs.
  *
  * @module
  */
@@ -9,49 +9,49 @@
 import { setTimeout as delay } from "node:timers/promises";
 import * as z from "zod";
 import { addressSchema } from "../settings/address.ts";
-import { Producers } from "./producers.ts";
-import { readBytes, readJson, sendJson, StandIn } from "./stand_in.ts";
+import { ProducerTable } from "./producers.ts";
+import { readBody, readJson, sendJson, StandIn } from "./stand_in.ts";
 import { frameRecord, REGISTRY_TOPIC } from "./wire.ts";
 
 /** Settings of the stand-in. Durations are milliseconds. */
 export const storeServiceSchema = z.strictObject({
   listen: addressSchema,
   partitions: z.number().int().positive().default(12),
-  /** Silence after which a backend server's entry is removed. */
+  /** Time without a heartbeat after which a backend server's entry is removed. */
   entryLifetime: z.number().positive().default(2_600),
 });
 
 /** See {@linkcode storeServiceSchema}. */
 export type StoreServiceSettings = z.infer<typeof storeServiceSchema>;
 
-/** Faults of the stand-in; all are off at the start. */
+/** Faults that can be injected; all are off initially. */
 export const storeFaultsSchema = z.strictObject({
-  /** It answers nothing. */
+  /** Closes the connection of each call without an answer. */
   outage: z.boolean().default(false),
-  /** It takes this much longer for each call, in milliseconds. */
+  /** Delay added to each call, in milliseconds. */
   delay: z.number().nonnegative().default(0),
-  /** Appends whose answer is lost after they took effect. */
+  /** Number of next appends that take effect but get no answer. */
   loseAnswers: z.number().int().nonnegative().default(0),
-  /** Records that are kept besides the newest of each key. */
+  /** Number of newest log records kept, besides the newest record of each key. */
   retention: z.number().int().nonnegative().default(10_000),
 });
 
 /** See {@linkcode storeFaultsSchema}. */
 export type StoreFaults = z.infer<typeof storeFaultsSchema>;
 
-/** Where the faults are switched. */
+/** Path of the calls that set the faults. */
 export const FAULTS_PATH = "/stand-in/faults";
-/** Pause between looks for silent entries, in milliseconds. */
+/** Interval between checks for expired entries, in milliseconds. */
 const EXPIRY_INTERVAL = 300;
-/** Bytes of a record's length. */
+/** Size of a record's length field, in bytes. */
 const LENGTH_BYTES = 4;
 
 interface Topic {
   first: number;
   records: Buffer[];
   newest: Map<string, { value: Buffer; offset: number; at: number }>;
-  producers: Producers;
-  waiting: Set<() => void>;
+  producers: ProducerTable;
+  waiters: Set<() => void>;
 }
 
 interface Group {
@@ -73,16 +73,19 @@
 export class StoreService extends StandIn {
   readonly #topics = new Map<string, Topic>();
   readonly #groups = new Map<string, Group>();
-  readonly #expiry: NodeJS.Timeout;
+  readonly #expiryTimer: NodeJS.Timeout;
   #faults: StoreFaults = storeFaultsSchema.parse({});
 
   private constructor(private readonly settings: StoreServiceSettings) {
     super();
-    this.#expiry = setInterval(() => this.#expire(), EXPIRY_INTERVAL);
-    this.#expiry.unref();
+    this.#expiryTimer = setInterval(
+      () => this.#removeExpiredEntries(),
+      EXPIRY_INTERVAL,
+    );
+    this.#expiryTimer.unref();
   }
 
-  /** Starts the stand-in. */
+  /** Starts the stand-in and resolves when it listens. */
   static async start(settings: StoreServiceSettings): Promise<StoreService> {
     const store = new StoreService(settings);
     await store.listen(settings.listen);
@@ -90,11 +93,11 @@
   }
 
   override close(): void {
-    clearInterval(this.#expiry);
+    clearInterval(this.#expiryTimer);
     super.close();
   }
 
-  /** Switches faults. */
+  /** Sets the given faults and leaves the others as they are. */
   set(faults: Partial<StoreFaults>): void {
     this.#faults = { ...this.#faults, ...faults };
   }
@@ -108,13 +111,13 @@
       this.#faults = storeFaultsSchema.parse(await readJson(request));
       return sendJson(response, 200, this.#faults);
     }
-    const { outage, delay: pause } = this.#faults;
-    if (pause > 0) await delay(pause);
+    const { outage, delay: latency } = this.#faults;
+    if (latency > 0) await delay(latency);
     if (outage) return void request.socket.destroy();
     const query = url.searchParams;
     switch (url.pathname) {
       case "/-/log-append":
-        return this.#append(query, await readBytes(request), response);
+        return this.#append(query, await readBody(request), response);
       case "/-/log-read":
         return await this.#read(query, response);
       case "/-/log-newest":
@@ -136,22 +139,23 @@
     body: Buffer,
     response: ServerResponse,
   ): void {
-    const topic = this.#topic(query.get("topic") ?? "");
+    const topic = this.#getTopic(query.get("topic") ?? "");
     const { producers } = topic;
-    // Before the condition, which the append itself has made untrue.
-    const repeated = producers.answerTo(query);
+    // Checked before the condition on the offset: the first execution of a repeated
+    // append has already moved the end of the log.
+    const repeated = producers.findRepeatedAnswer(query);
     if (repeated !== undefined) return sendJson(response, 200, repeated);
     const offset = topic.first + topic.records.length;
     const at = query.get("at");
     if (at !== null && Number(at) !== offset) {
       return sendJson(response, 412, { end: offset });
     }
-    const refusal = producers.refusal(query);
+    const refusal = producers.checkAppend(query);
     if (refusal !== null) return sendJson(response, 409, refusal);
-    for (const content of splitRecords(body)) this.#put(topic, content);
-    for (const wake of topic.waiting) wake();
+    for (const content of splitRecords(body)) this.#write(topic, content);
+    for (const wake of topic.waiters) wake();
     const end = topic.first + topic.records.length;
-    producers.note(query, { offset, end });
+    producers.recordAppend(query, { offset, end });
     if (this.#faults.loseAnswers > 0) {
       this.#faults.loseAnswers -= 1;
       return void response.socket?.destroy();
@@ -159,7 +163,7 @@
     sendJson(response, 200, { offset, end });
   }
 
-  #put(topic: Topic, content: Buffer): void {
+  #write(topic: Topic, content: Buffer): void {
     const offset = topic.first + topic.records.length;
     topic.records.push(content);
     const length = content.readUInt8(0);
@@ -174,11 +178,11 @@
   }
 
   async #read(query: URLSearchParams, response: ServerResponse): Promise<void> {
-    const topic = this.#topic(query.get("topic") ?? "");
+    const topic = this.#getTopic(query.get("topic") ?? "");
     const from = Number(query.get("from"));
     const wait = Number(query.get("wait_ms") ?? 0);
     if (from >= topic.first + topic.records.length && wait > 0) {
-      await this.#wait(topic, wait, response);
+      await this.#waitForAppend(topic, wait, response);
     }
     if (this.#faults.outage) return void response.socket?.destroy();
     if (from < topic.first) {
@@ -189,28 +193,28 @@
     offsets.writeBigUInt64BE(BigInt(end), 0);
     offsets.writeBigUInt64BE(BigInt(topic.first), 8);
     const records = topic.records.slice(from - topic.first);
-    response.end(Buffer.concat([offsets, ...records.map(frame)]));
+    response.end(Buffer.concat([offsets, ...records.map(frameContent)]));
   }
 
-  #wait(
+  #waitForAppend(
     topic: Topic,
     milliseconds: number,
     response: ServerResponse,
   ): Promise<void> {
     return new Promise((resolve) => {
-      const end = () => {
+      const resume = () => {
         clearTimeout(timer);
-        topic.waiting.delete(end);
+        topic.waiters.delete(resume);
         resolve();
       };
-      const timer = setTimeout(end, milliseconds);
-      topic.waiting.add(end);
-      response.once("close", end);
+      const timer = setTimeout(resume, milliseconds);
+      topic.waiters.add(resume);
+      response.once("close", resume);
     });
   }
 
   #newest(query: URLSearchParams, response: ServerResponse): void {
-    const topic = this.#topic(query.get("topic") ?? "");
+    const topic = this.#getTopic(query.get("topic") ?? "");
     const items = [...topic.newest].map(([key, { value, offset }]) => ({
       key,
       value: value.toString("base64"),
@@ -228,8 +232,8 @@
       { generation: 0, members: new Map<string, number>() };
     this.#groups.set(name, group);
     const now = Date.now();
-    for (const [id, until] of group.members) {
-      if (until >= now) continue;
+    for (const [id, expiresAt] of group.members) {
+      if (expiresAt >= now) continue;
       group.members.delete(id);
       group.generation += 1;
     }
@@ -247,30 +251,30 @@
     { group, member }: z.infer<typeof leaveSchema>,
     response: ServerResponse,
   ): void {
-    const known = this.#groups.get(group);
-    if (known?.members.delete(member)) known.generation += 1;
+    const existing = this.#groups.get(group);
+    if (existing?.members.delete(member)) existing.generation += 1;
     sendJson(response, 200, {});
   }
 
-  /** Removes the entries of backend servers that have gone silent. */
-  #expire(): void {
+  /** Removes the entries of backend servers that have sent no heartbeat for too long. */
+  #removeExpiredEntries(): void {
     const topic = this.#topics.get(REGISTRY_TOPIC);
     if (topic === undefined) return;
     const oldest = Date.now() - this.settings.entryLifetime;
     for (const [key, { at }] of topic.newest) {
-      if (at < oldest) this.#put(topic, frameRecord(key, "").subarray(4));
+      if (at < oldest) this.#write(topic, frameRecord(key, "").subarray(4));
     }
   }
 
-  #topic(name: string): Topic {
+  #getTopic(name: string): Topic {
     let topic = this.#topics.get(name);
     if (topic === undefined) {
       topic = {
         first: 0,
         records: [],
         newest: new Map(),
-        producers: Producers.create(),
-        waiting: new Set(),
+        producers: ProducerTable.create(),
+        waiters: new Set(),
       };
       this.#topics.set(name, topic);
     }
@@ -290,7 +294,7 @@
   return records;
 }
 
-function frame(content: Buffer): Buffer {
+function frameContent(content: Buffer): Buffer {
   const length = Buffer.alloc(LENGTH_BYTES);
   length.writeUInt32BE(content.length);
   return Buffer.concat([length, content]);
--- a/src/stand_ins/wire.ts
+++ b/src/stand_ins/wire.ts
@@ -1,11 +1,12 @@
 /**
- * The stand-ins' own copy of the names that the platform speaks, as the deploy
- * file shapes them: a fault of the adapter must not be repeated here.
+ * The names and framing of the platform's protocol, as specified by the deploy file.
+ * The stand-ins use their own copy instead of the platform adapter's, so that a fault
+ * in the adapter is not repeated here and stays visible.
  *
  * @module
  */
 
-/** Headers between entries and backend servers. */
+/** Headers between plumloft and backend servers. */
 export const HEADER = {
   requestId: "x-plumloft-request-id",
   timeout: "x-plumloft-deadline-ms",
@@ -19,15 +20,16 @@
   handover: "x-plumloft-handover",
 } as const;
 
-/** Topic of backend servers' entries. */
+/** Topic in which backend servers register themselves. */
 export const REGISTRY_TOPIC = "keyed.servers";
 
-/** A keyed record as the log frames it. */
+/** Frames a record of a keyed topic: a four-byte length, a one-byte key length, the
+ * key and the value. */
 export function frameRecord(key: string, value: string): Buffer {
-  const name = Buffer.from(key);
+  const keyBytes = Buffer.from(key);
   const content = Buffer.concat([
-    Buffer.from([name.length]),
-    name,
+    Buffer.from([keyBytes.length]),
+    keyBytes,
     Buffer.from(value),
   ]);
   const length = Buffer.alloc(4);
--- a/src/stand_ins/work_queue.ts
+++ b/src/stand_ins/work_queue.ts
@@ -1,42 +1,43 @@
 /**
- * The slots of a stand-in backend server: so many pieces of work run at a time,
- * a few wait, and the rest is shed.
+ * Admission control of a stand-in backend server: a fixed number of requests runs
+ * concurrently, a bounded number waits in a queue, and the rest is shed.
  *
  * @module
  */
 
-/** Work that waits for a slot. */
-interface Waiting {
+/** A request that waits for a slot. */
+interface QueuedWork {
   start: () => void;
 }
 
 /** See the module's comment. */
 export class WorkQueue {
   #running = 0;
-  readonly #waiting: Waiting[] = [];
+  readonly #waiting: QueuedWork[] = [];
 
   private constructor(
     readonly slots: number,
     readonly capacity: number,
   ) {}
 
-  /** `slots` run at a time and `capacity` wait. */
+  /** Creates a queue in which up to `slots` requests run and up to `capacity` wait. */
   static create(slots: number, capacity: number): WorkQueue {
     return new WorkQueue(slots, capacity);
   }
 
-  /** Pieces of work that run now. */
+  /** Number of requests that are running. */
   get running(): number {
     return this.#running;
   }
 
-  /** Pieces of work that wait now. */
+  /** Number of requests that wait for a slot. */
   get waiting(): number {
     return this.#waiting.length;
   }
 
-  /** Resolves to true once a slot is free, or to false when work is shed. */
-  enter(): Promise<boolean> {
+  /** Resolves to true when a slot has been acquired, or to false if the queue is full
+   * and the request is shed. */
+  acquire(): Promise<boolean> {
     if (this.#running < this.slots) {
       this.#running += 1;
       return Promise.resolve(true);
@@ -47,8 +48,8 @@
     });
   }
 
-  /** Gives a slot back. */
-  leave(): void {
+  /** Releases a slot, which passes to the request that has waited longest. */
+  release(): void {
     const next = this.#waiting.shift();
     if (next === undefined) this.#running -= 1;
     else next.start();
