--- a/src/launcher/compiled_program.ts
+++ b/src/launcher/compiled_program.ts
@@ -1,10 +1,10 @@
 /**
- * The bundled program with the code that V8 made of it at build time.
+ * Loads the bundled program with the V8 code cache that was written at build time.
  *
- * Compiling the bundle is a third of the processor time of a start, and a VM
- * that was killed takes no callers until its process has started again. Code
- * made by another version of Node or under other flags is refused by V8, and
- * the program is then compiled as usual.
+ * Compiling the bundle takes a third of the processor time of a start, and a VM that
+ * was killed accepts no callers until its process has started again. V8 rejects a code
+ * cache that was made by another version of Node.js or with other flags; the program
+ * is then compiled as usual.
  *
  * @module
  */
@@ -13,12 +13,12 @@
 import { dirname, join } from "node:path";
 import { Script } from "node:vm";
 
-/** The bundle, ASCII only, beside the launcher. */
-const PROGRAM = "program.cjs";
-/** The code that was made of it. */
-const CODE = "program.code";
+/** File name of the bundle, which contains only ASCII, in the launcher's folder. */
+const PROGRAM_FILE = "program.cjs";
+/** File name of the V8 code cache of the bundle, in the same folder. */
+const CODE_CACHE_FILE = "program.code";
 
-/** What a CommonJS module is called with. */
+/** The function that wraps a CommonJS module. */
 type ModuleFunction = (
   exports: object,
   require: NodeJS.Require,
@@ -39,30 +39,30 @@
 
   private constructor(
     private readonly file: string,
-    code: Buffer | undefined,
+    codeCache: Buffer | undefined,
   ) {
     const source = readFileSync(file, "latin1");
     this.#script = new Script(
       `(function(exports,require,module,__filename,__dirname){${source}\n})`,
-      { filename: file, cachedData: code },
+      { filename: file, cachedData: codeCache },
     );
   }
 
-  /** The program in `folder`, with its code where that was made. */
+  /** Loads the program in `folder`, with its code cache if there is one. */
   static load(folder: string): CompiledProgram {
-    const code = join(folder, CODE);
+    const cacheFile = join(folder, CODE_CACHE_FILE);
     return new CompiledProgram(
-      join(folder, PROGRAM),
-      existsSync(code) ? readFileSync(code) : undefined,
+      join(folder, PROGRAM_FILE),
+      existsSync(cacheFile) ? readFileSync(cacheFile) : undefined,
     );
   }
 
-  /** Whether there was code that this Node does not take. */
-  get isCodeRefused(): boolean {
+  /** Whether there was a code cache that V8 rejected. */
+  get isCodeCacheRejected(): boolean {
     return this.#script.cachedDataRejected === true;
   }
 
-  /** Runs the program as the process's own. */
+  /** Runs the program as the main module of this process. */
   run(): void {
     const main = this.#script.runInThisContext() as ModuleFunction;
     const module = { exports: {} };
@@ -70,9 +70,9 @@
     main(module.exports, createRequire(this.file), module, this.file, folder);
   }
 
-  /** Writes the code of all functions that have run so far. */
+  /** Writes the code cache of all functions that have run so far. */
   writeCode(): void {
-    const code = join(dirname(this.file), CODE);
-    writeFileSync(code, this.#script.createCachedData());
+    const cacheFile = join(dirname(this.file), CODE_CACHE_FILE);
+    writeFileSync(cacheFile, this.#script.createCachedData());
   }
 }
--- a/src/launcher/compiled_program_test.ts
+++ b/src/launcher/compiled_program_test.ts
@@ -4,9 +4,10 @@
 import test from "ava";
 import { CompiledProgram } from "./compiled_program.ts";
 
+/** Name of the global variable that the program sets. */
 const KEY = "compiledProgramTest";
 
-/** A folder with a program that notes where it ran. */
+/** Creates a folder with a program that records the folder it ran in. */
 function createFolder(): string {
   const folder = mkdtempSync(join(tmpdir(), "plumloft-launcher-"));
   const source =
@@ -15,26 +16,26 @@
   return folder;
 }
 
-const ran = () => (globalThis as Record<string, unknown>)[KEY];
+const readResult = () => (globalThis as Record<string, unknown>)[KEY];
 
-test.serial("launcher: runs the program, with its code from then on", (t) => {
+test.serial("launcher: runs the program, and uses the written code cache the next time", (t) => {
   const folder = createFolder();
   const first = CompiledProgram.load(folder);
   first.run();
-  t.deepEqual(ran(), [folder, "function"]);
+  t.deepEqual(readResult(), [folder, "function"]);
   first.writeCode();
   t.true(existsSync(join(folder, "program.code")));
   const second = CompiledProgram.load(folder);
-  t.false(second.isCodeRefused);
+  t.false(second.isCodeCacheRejected);
   second.run();
-  t.deepEqual(ran(), [folder, "function"]);
+  t.deepEqual(readResult(), [folder, "function"]);
 });
 
-test.serial("launcher: code that V8 refuses does not stop the program", (t) => {
+test.serial("launcher: runs the program if V8 rejects the code cache", (t) => {
   const folder = createFolder();
   writeFileSync(join(folder, "program.code"), Buffer.alloc(200));
   const program = CompiledProgram.load(folder);
-  t.true(program.isCodeRefused);
+  t.true(program.isCodeCacheRejected);
   program.run();
-  t.deepEqual(ran(), [folder, "function"]);
+  t.deepEqual(readResult(), [folder, "function"]);
 });
--- a/src/launcher/main.ts
+++ b/src/launcher/main.ts
@@ -1,17 +1,18 @@
 /**
- * Entry point of the program where it runs from a folder of files: runs the
- * bundle beside it. The executable `dist/plumloft` does without.
+ * Entry point of the program when it runs from a folder of files: runs the bundle in
+ * the same folder. The executable `dist/plumloft` does not use it.
  *
  * @module
  */
 import { CompiledProgram } from "./compiled_program.ts";
 
 const program = CompiledProgram.load(__dirname);
-if (program.isCodeRefused) {
+if (program.isCodeCacheRejected) {
   const line = {
     level: "warn",
     message: "code.refused",
-    cause: "made by another Node or under other flags; starts take longer",
+    cause:
+      "the code cache was made by another Node.js version or with other flags; startup takes longer",
   };
   process.stdout.write(`${JSON.stringify(line)}\n`);
 }
--- a/src/logging/batched_transport.ts
+++ b/src/logging/batched_transport.ts
@@ -1,24 +1,24 @@
 /**
- * Joins log lines and writes many at once: a write for each line would cost more
- * than the line. The buffer is bounded; what does not fit is dropped and
- * counted, since a slow reader of logs must not stop requests, nor one that is
- * gone.
+ * A winston transport that collects log lines and writes them in batches: a write for
+ * each line would cost more than formatting it. The buffer is bounded. Lines that do
+ * not fit are dropped and counted, because a slow or closed log output must not stop
+ * requests.
  *
  * @module
  */
 import type { Writable } from "node:stream";
 import Transport from "winston-transport";
 
-/** The key under which winston keeps a formatted line. */
+/** Key under which winston stores the formatted line. */
 const MESSAGE = Symbol.for("message");
-/** Size at which lines are written at once, in characters. */
+/** Size of the batch at which it is written immediately, in characters. */
 const FLUSH_SIZE = 32 * 1024;
-/** Time after which lines are written at the latest, in milliseconds. */
+/** Longest time for which a line waits in the batch, in milliseconds. */
 const FLUSH_INTERVAL = 50;
-/** Bytes that may wait in the output stream. */
-const MAXIMUM_PENDING = 8 * 1024 * 1024;
+/** Maximum bytes buffered in the output stream; further lines are dropped. */
+const MAXIMUM_PENDING_BYTES = 8 * 1024 * 1024;
 
-/** A winston transport; see the module's comment. */
+/** See the module's comment. */
 export class BatchedTransport extends Transport {
   #lines = "";
   #timer: NodeJS.Timeout | null = null;
@@ -27,22 +27,22 @@
 
   private constructor(private readonly output: Writable) {
     super();
-    // Whoever read the log is gone; requests go on without it.
+    // The reader of the log has closed it. The process continues without logging.
     output.on("error", () => this.#isBroken = true);
   }
 
-  /** Writes to `output`. */
+  /** Creates a transport that writes to `output`. */
   static create(output: Writable): BatchedTransport {
     return new BatchedTransport(output);
   }
 
-  /** Lines that were dropped because the output was too slow or broken. */
+  /** Number of lines dropped because the output was too slow or broken. */
   get dropped(): number {
     return this.#dropped;
   }
 
   override log(info: Record<symbol, string>, next: () => void): void {
-    const isFull = this.output.writableLength > MAXIMUM_PENDING;
+    const isFull = this.output.writableLength > MAXIMUM_PENDING_BYTES;
     if (isFull || this.#isBroken) {
       this.#dropped += 1;
     } else {
@@ -53,7 +53,7 @@
     next();
   }
 
-  /** Writes what has gathered. */
+  /** Writes the collected lines. */
   flush(): void {
     if (this.#timer !== null) clearTimeout(this.#timer);
     this.#timer = null;
--- a/src/logging/batched_transport_test.ts
+++ b/src/logging/batched_transport_test.ts
@@ -1,20 +1,20 @@
 import { Writable } from "node:stream";
 import test from "ava";
-import { Journal } from "./journal.ts";
+import { Journal } from "./logger.ts";
 
-/** Waits until the events of earlier turns have been handled. */
-const turn = () => new Promise((next) => setImmediate(next));
+/** Waits for the next turn of the event loop, so that pending events are handled. */
+const nextTurn = () => new Promise((resolve) => setImmediate(resolve));
 
-test("log: an output that breaks ends nothing, and what is lost is counted", async (t) => {
+test("logging: a broken output does not end the process, and dropped lines are counted", async (t) => {
   const output = new Writable({
     write: (_chunk, _encoding, done) => done(new Error("EPIPE")),
   });
-  const journal = Journal.create("vm", "info", output);
-  journal.write("info", "first", {});
-  journal.flush();
-  await turn();
-  t.is(journal.dropped, 0);
-  journal.write("info", "second", {});
-  t.is(journal.dropped, 1);
-  journal.flush();
+  const logger = Journal.create("vm", "info", output);
+  logger.write("info", "first", {});
+  logger.flush();
+  await nextTurn();
+  t.is(logger.dropped, 0);
+  logger.write("info", "second", {});
+  t.is(logger.dropped, 1);
+  logger.flush();
 });
--- a/src/logging/index.ts
+++ b/src/logging/index.ts
@@ -1,3 +1,3 @@
 export * from "./batched_transport.ts";
-export * from "./journal.ts";
+export * from "./logger.ts";
 export * from "./story.ts";
--- a/src/logging/journal.ts
+++ b/src/logging/logger.ts
@@ -1,6 +1,6 @@
 /**
- * The log of one process: JSON lines with a time, a level, the VM, and what was
- * decided.
+ * Logger of one process. It writes JSON lines with the time, level, VM, message and
+ * further fields.
  *
  * @module
  */
@@ -8,15 +8,15 @@
 import winston from "winston";
 import { BatchedTransport } from "./batched_transport.ts";
 
-/** How much is logged. */
-export type Level = "error" | "warn" | "info";
+/** Severity of a log line. */
+export type LogLevel = "error" | "warn" | "info";
 
-/** Fields of a log line. */
-export type Fields = Record<string, string | number | boolean | null>;
+/** Additional fields of a log line. */
+export type LogFields = Record<string, string | number | boolean | null>;
 
 const MESSAGE = Symbol.for("message");
 
-/** Writes log lines. */
+/** See the module's comment. */
 export class Journal {
   private constructor(
     private readonly logger: winston.Logger,
@@ -24,12 +24,13 @@
     private readonly vm: string,
   ) {}
 
-  /** A journal of the process `vm` that writes to `output`. */
-  static create(vm: string, level: Level, output: Writable): Journal {
+  /** Creates a logger for the VM `vm` that writes lines of `level` and above to
+   * `output`. */
+  static create(vm: string, level: LogLevel, output: Writable): Journal {
     const transport = BatchedTransport.create(output);
-    const line = winston.format((info) => {
-      // The one place that makes text of a record; stringifying once is most of
-      // what a line costs.
+    const jsonFormat = winston.format((info) => {
+      // The only place that serializes a record: serialization is most of the cost
+      // of a line, so it is done once.
       (info as unknown as Record<symbol, string>)[MESSAGE] = JSON.stringify(
         info,
       );
@@ -37,26 +38,26 @@
     });
     const logger = winston.createLogger({
       level,
-      format: line(),
+      format: jsonFormat(),
       transports: [transport],
     });
     return new Journal(logger, transport, vm);
   }
 
   /** Writes one line. */
-  write(level: Level, message: string, fields: Fields): void {
+  write(level: LogLevel, message: string, fields: LogFields): void {
     const time = new Date().toISOString();
     this.logger.log(
       Object.assign({ level, message, time, vm: this.vm }, fields),
     );
   }
 
-  /** Lines that were dropped because the output was too slow or broken. */
+  /** Number of lines dropped because the output was too slow or broken. */
   get dropped(): number {
     return this.transport.dropped;
   }
 
-  /** Writes out everything that waits. */
+  /** Writes all buffered lines. */
   flush(): void {
     this.transport.flush();
   }
--- a/src/logging/story.ts
+++ b/src/logging/story.ts
@@ -1,10 +1,10 @@
 /**
- * Finds what the logs of one or more processes say of a request.
+ * Reconstructs the course of a request from the logs of one or more processes.
  *
  * @module
  */
 
-/** One line of a log about a request. */
+/** A log line about the request. */
 export interface StoryLine {
   time: string;
   vm: string;
@@ -12,22 +12,22 @@
   detail: Record<string, unknown>;
 }
 
-/** What happened to a request. */
-export interface Story {
+/** The log lines of a request and its outcome. */
+export interface RequestTrace {
   lines: StoryLine[];
-  /** Why it ended as it did, in one sentence. */
+  /** Outcome of the request and its cause, in one sentence. */
   cause: string;
 }
 
-/** Fields that every line has. */
+/** Fields of every line, which are not part of its detail. */
 const COMMON_FIELDS = new Set(["time", "vm", "message", "level", "request"]);
 
 /**
- * The story of the request `id` in lines of logs; lines that are cut short or
- * of another kind are passed over.
+ * Collects the log lines of the request `id` in order of time. Ignores lines that are
+ * truncated, not JSON or about another request.
  */
-export function findStory(id: string, lines: Iterable<string>): Story {
-  const found: StoryLine[] = [];
+export function findStory(id: string, lines: Iterable<string>): RequestTrace {
+  const matches: StoryLine[] = [];
   for (const line of lines) {
     if (!line.includes(id)) continue;
     const parsed = parseLine(line);
@@ -35,20 +35,20 @@
     const detail = Object.fromEntries(
       Object.entries(parsed).filter(([name]) => !COMMON_FIELDS.has(name)),
     );
-    found.push({
+    matches.push({
       time: String(parsed.time),
       vm: String(parsed.vm),
       decision: String(parsed.message),
       detail,
     });
   }
-  found.sort((a, b) => a.time.localeCompare(b.time));
-  return { lines: found, cause: causeOf(found) };
+  matches.sort((a, b) => a.time.localeCompare(b.time));
+  return { lines: matches, cause: explainOutcome(matches) };
 }
 
 function parseLine(line: string): Record<string, unknown> | null {
   try {
-    // A line may stand behind something that a collector has put before it.
+    // A log collector may have added a prefix to the line.
     const value = JSON.parse(line.slice(line.indexOf("{")));
     return typeof value === "object" ? value : null;
   } catch {
@@ -56,10 +56,10 @@
   }
 }
 
-/** Says why a request ended as it did, from its last decisive line. */
-function causeOf(lines: readonly StoryLine[]): string {
-  const last = lines.findLast((each) => each.decision in CAUSES);
-  if (last !== undefined) return CAUSES[last.decision](last.detail, lines);
+/** Explains the outcome of a request from the last line that determines it. */
+function explainOutcome(lines: readonly StoryLine[]): string {
+  const last = lines.findLast((entry) => entry.decision in OUTCOMES);
+  if (last !== undefined) return OUTCOMES[last.decision](last.detail, lines);
   return lines.length === 0
     ? "no line names this request: it was served at once, or not by these VMs"
     : "no final line: the process ended, or its lines were dropped";
@@ -70,24 +70,24 @@
   lines: readonly StoryLine[],
 ) => string;
 
-const CAUSES: Record<string, Explanation> = {
+const OUTCOMES: Record<string, Explanation> = {
   "request.refused": ({ service, reason, age }, lines) => {
-    const crowded = lines.findLast((each) =>
-      each.decision === "request.crowded_out"
+    const shed = lines.findLast((entry) =>
+      entry.decision === "request.crowded_out"
     );
-    if (crowded !== undefined) {
-      const { share, limitAge } = crowded.detail;
-      return `503 after ${age} ms, not run: ${reason}: ${share} of its requests have room, by what the term holder told ${limitAge} ms before (service ${service})`;
+    if (shed !== undefined) {
+      const { share, limitAge } = shed.detail;
+      return `503 after ${age} ms, not run: ${reason}: ${share} of its requests are admitted, by the limit that the term holder sent ${limitAge} ms before (service ${service})`;
     }
-    const held = lines.findLast((each) =>
-      each.decision === "request.held_back"
+    const quarantined = lines.findLast((entry) =>
+      entry.decision === "request.held_back"
     );
-    if (held !== undefined) {
-      const { fingerprint, ends, left } = held.detail;
-      return `429 after ${age} ms, not run: ${reason}: ${ends}, held back for ${left} ms more; lines with fingerprint ${fingerprint} tell which (service ${service})`;
+    if (quarantined !== undefined) {
+      const { fingerprint, ends, left } = quarantined.detail;
+      return `429 after ${age} ms, not run: ${reason}: ${ends}, quarantined for ${left} ms more; log lines with fingerprint ${fingerprint} name the servers (service ${service})`;
     }
-    const refusal = lines.findLast((each) =>
-      each.decision === "attempt.not_run"
+    const refusal = lines.findLast((entry) =>
+      entry.decision === "attempt.not_run"
     );
     const why = refusal === undefined
       ? `${reason}`
@@ -95,19 +95,19 @@
     return `503 after ${age} ms, not run: ${why} (service ${service})`;
   },
   "request.failed": ({ status, reason }, lines) => {
-    const unknown = lines.findLast((each) =>
-      each.decision === "request.unknown" ||
-      each.decision === "request.timed_out"
+    const uncertain = lines.findLast((entry) =>
+      entry.decision === "request.unknown" ||
+      entry.decision === "request.timed_out"
     );
-    const server = unknown?.detail.server ?? "the server";
-    return `${status}: ${server} may have run it and its answer did not come (${reason})`;
+    const server = uncertain?.detail.server ?? "the server";
+    return `${status}: ${server} may have run it, but its answer did not arrive (${reason})`;
   },
   "request.delivered": ({ server, status, age, isLate }) =>
-    `${status} of server ${server} after ${age} ms${isLate ? ", late" : ""}`,
-  "request.left": ({ age }) => `the caller left after ${age} ms`,
+    `${status} from server ${server} after ${age} ms${isLate ? ", late" : ""}`,
+  "request.left": ({ age }) => `the caller disconnected after ${age} ms`,
   "request.unrouted": ({ status, reason, version }) =>
     `${status}: ${reason} (configuration version ${version})`,
-  "request.turned_away": ({ reason }) => `503 at once, not run: ${reason}`,
+  "request.turned_away": ({ reason }) => `503 immediately, not run: ${reason}`,
   "request.read_late": ({ timeout, age }) =>
-    `503, not run: read ${age} ms after it came, when its caller's ${timeout} ms were over`,
+    `503, not run: read ${age} ms after it arrived, when its caller's timeout of ${timeout} ms had expired`,
 };
--- a/src/metrics/latencies.ts
+++ b/src/metrics/latencies.ts
@@ -1,17 +1,17 @@
 /**
- * Latency histograms of callers' requests, refused ones apart.
+ * Latency histogram of callers' requests.
  *
  * @module
  */
 import { build, type Histogram } from "hdr-histogram-js";
 
-/** Microseconds in a millisecond: histograms count whole microseconds. */
-const MICROSECONDS = 1_000;
+/** Microseconds per millisecond; the histogram counts whole microseconds. */
+const MICROSECONDS_PER_MILLISECOND = 1_000;
 
 /** Percentiles that are reported. */
 export const PERCENTILES = [50, 90, 99, 99.9] as const;
 
-/** Figures of one histogram, in milliseconds. */
+/** Statistics of one histogram; durations are in milliseconds. */
 export interface LatencySummary {
   count: number;
   mean: number;
@@ -19,37 +19,40 @@
   percentiles: { percentile: number; value: number }[];
 }
 
-/** A histogram of durations. */
+/** A histogram of durations up to one minute, exact to three significant digits. */
 export class Latencies {
   readonly #histogram: Histogram = build({
     lowestDiscernibleValue: 1,
-    highestTrackableValue: 60 * 1_000 * MICROSECONDS,
+    highestTrackableValue: 60 * 1_000 * MICROSECONDS_PER_MILLISECOND,
     numberOfSignificantValueDigits: 3,
     useWebAssembly: false,
   });
 
   private constructor() {}
 
-  /** An empty histogram. */
+  /** Creates an empty histogram. */
   static create(): Latencies {
     return new Latencies();
   }
 
   /** Records one duration in milliseconds. */
   record(milliseconds: number): void {
-    this.#histogram.recordValue(Math.max(1, milliseconds * MICROSECONDS));
+    this.#histogram.recordValue(
+      Math.max(1, milliseconds * MICROSECONDS_PER_MILLISECOND),
+    );
   }
 
-  /** The figures so far. */
+  /** Returns the statistics of all recorded durations. */
   summary(): LatencySummary {
     const histogram = this.#histogram;
     return {
       count: histogram.totalCount,
-      mean: histogram.mean / MICROSECONDS,
-      max: histogram.maxValue / MICROSECONDS,
+      mean: histogram.mean / MICROSECONDS_PER_MILLISECOND,
+      max: histogram.maxValue / MICROSECONDS_PER_MILLISECOND,
       percentiles: PERCENTILES.map((percentile) => ({
         percentile,
-        value: histogram.getValueAtPercentile(percentile) / MICROSECONDS,
+        value: histogram.getValueAtPercentile(percentile) /
+          MICROSECONDS_PER_MILLISECOND,
       })),
     };
   }
--- a/src/stand_ins/backend_service.ts
+++ b/src/stand_ins/backend_service.ts
@@ -128,7 +128,7 @@
   }
 
   /** Sets the given faults and leaves the others as they are. */
-  set(faults: Partial<BackendFaults>): void {
+  setFaults(faults: Partial<BackendFaults>): void {
     this.#faults = { ...this.#faults, ...faults };
     if (this.#faults.draining && !this.#isDraining) void this.drain();
   }
@@ -162,7 +162,7 @@
           response,
         );
       case FAULTS_PATH:
-        this.set(backendFaultsSchema.parse(await readJson(request)));
+        this.setFaults(backendFaultsSchema.parse(await readJson(request)));
         return sendJson(response, 200, this.#faults);
       default:
         return await this.#handleRequest(request, response);
