--- a/src/metrics/latencies.ts
+++ b/src/metrics/latencies.ts
@@ -19,7 +19,7 @@
   percentiles: { percentile: number; value: number }[];
 }
 
-/** A histogram of durations up to one minute, exact to three significant digits. */
+/** A histogram of durations with three significant digits. */
 export class Latencies {
   readonly #histogram: Histogram = build({
     lowestDiscernibleValue: 1,
