--- a/src/cli/command_line.ts
+++ b/src/cli/command_line.ts
@@ -1,6 +1,7 @@
 /**
- * The command line of the one binary. What only operators need is loaded when
- * it is asked for, since every entry process pays for what is loaded.
+ * The command line of the plumloft binary. Each command's module is imported
+ * only when the command is run, so that an entry process doesn't spend start-up
+ * time and memory on operator commands.
  *
  * @module
  */
@@ -8,13 +9,13 @@
 import { errorText } from "../errors/index.ts";
 import { InvalidInput } from "../settings/invalid_input.ts";
 import { VERSION } from "../version.ts";
-import { EXIT } from "./exit_code.ts";
+import { EXIT_CODE } from "./exit_code.ts";
 
-/** Adds one command to the parser. */
-type Adder = (argv: Argv) => Argv;
+/** Registers one command with the parser. */
+type CommandRegistrar = (argv: Argv) => Argv;
 
-/** Loads a command by its first word. */
-const COMMANDS: Record<string, () => Promise<Adder>> = {
+/** Imports the module of each command, by the command's name. */
+const COMMAND_LOADERS: Record<string, () => Promise<CommandRegistrar>> = {
   serve: async () => (await import("./serve_command.ts")).addServeCommand,
   config: async () => (await import("./config_command.ts")).addConfigCommand,
   evacuate: async () =>
@@ -29,33 +30,35 @@
   demo: async () => (await import("./demo_command.ts")).addDemoCommand,
 };
 
-/** Runs the command that `args` name; sets the exit code of the process. */
+/** Runs the command in `args` and sets the exit code of the process. */
 export async function runCommandLine(args: readonly string[]): Promise<void> {
   const parser = yargs()
     .scriptName("plumloft")
     .usage("$0 <command>")
     .version(VERSION)
     .help()
-    .demandCommand(1, "name a command; see --help")
+    .demandCommand(1, "missing command; see --help")
     .strict()
     .exitProcess(false)
     .fail((message, error) => {
       throw error ?? usageError(message);
     });
   try {
-    await addCommands(parser, args[0]);
+    await registerCommands(parser, args[0]);
     await parser.parseAsync([...args]);
   } catch (error) {
     process.stderr.write(`plumloft: ${errorText(error)}\n`);
-    process.exitCode = isInvalid(error) ? EXIT.invalid : EXIT.failed;
+    process.exitCode = isInvalid(error) ? EXIT_CODE.invalid : EXIT_CODE.failed;
   }
 }
 
-/** Adds the named command, or all of them for help and for faulty names. */
-async function addCommands(parser: Argv, name: string): Promise<void> {
-  const named = COMMANDS[name];
-  const loaders = named === undefined ? Object.values(COMMANDS) : [named];
-  for (const load of loaders) (await load())(parser);
+/** Registers the named command, or all of them for help and unknown names. */
+async function registerCommands(parser: Argv, name: string): Promise<void> {
+  const named = COMMAND_LOADERS[name];
+  const selected = named === undefined
+    ? Object.values(COMMAND_LOADERS)
+    : [named];
+  for (const load of selected) (await load())(parser);
 }
 
 function usageError(message: string): InvalidInput {
@@ -67,7 +70,7 @@
   }]);
 }
 
-/** Whether it is the operator's input that has to be mended. */
+/** Whether the error is caused by the operator's input. */
 function isInvalid(error: unknown): boolean {
   if (error instanceof InvalidInput) return true;
   return (error as NodeJS.ErrnoException).code === "EADDRINUSE";
--- a/src/cli/config_command.ts
+++ b/src/cli/config_command.ts
@@ -1,6 +1,5 @@
 /**
- * `plumloft config`: checks, shows, compares and publishes what operators
- * declare.
+ * `plumloft config`: checks, compares, publishes and shows configurations.
  *
  * @module
  */
@@ -11,7 +10,7 @@
 import { siteConfiguration } from "../core/declaration/index.ts";
 import type { ControlStore } from "../runtime/control_store.ts";
 import { InvalidInput, readDeclaration } from "../settings/index.ts";
-import { EXIT } from "./exit_code.ts";
+import { EXIT_CODE } from "./exit_code.ts";
 
 interface StoreOptions {
   store: string;
@@ -22,7 +21,7 @@
   site: string;
 }
 
-/** Adds the commands to `yargs`. */
+/** Registers the command and its subcommands with `yargs`. */
 export function addConfigCommand(yargs: Argv): Argv {
   return yargs.command(
     "config",
@@ -31,34 +30,36 @@
       argv
         .command(
           "check <folder>",
-          "check a base file and its overlays",
-          (each) => withFolder(each),
+          "validate a base file and its overlays",
+          (command) => addFolderArgument(command),
           ({ folder }) => check(folder),
         )
         .command(
           "diff <folder>",
-          "show how a folder differs from what is in force",
-          (each) => withStore(withSite(withFolder(each))),
+          "compare a folder with the active configuration",
+          (command) =>
+            addStoreOption(addSiteOption(addFolderArgument(command))),
           (options) => diff(options),
         )
         .command(
           "publish <folder>",
           "publish the configuration of a site",
-          (each) => withStore(withSite(withFolder(each))),
+          (command) =>
+            addStoreOption(addSiteOption(addFolderArgument(command))),
           (options) => publish(options),
         )
         .command(
           "show",
-          "show what is in force",
-          (each) => withStore(each),
+          "show the active configuration",
+          (command) => addStoreOption(command),
           (options) => show(options),
         )
-        .demandCommand(1, "name one of: check, diff, publish, show")
+        .demandCommand(1, "missing subcommand: check, diff, publish or show")
         .strict(),
   );
 }
 
-function withFolder<T>(yargs: Argv<T>) {
+function addFolderArgument<T>(yargs: Argv<T>) {
   return yargs.positional("folder", {
     type: "string",
     demandOption: true,
@@ -66,15 +67,15 @@
   });
 }
 
-function withSite<T>(yargs: Argv<T>) {
+function addSiteOption<T>(yargs: Argv<T>) {
   return yargs.option("site", {
     type: "string",
     demandOption: true,
-    describe: "site whose overlay is laid over the base file",
+    describe: "site whose overlay is applied to the base file",
   });
 }
 
-function withStore<T>(yargs: Argv<T>) {
+function addStoreOption<T>(yargs: Argv<T>) {
   return yargs.option("store", {
     type: "string",
     demandOption: true,
@@ -99,21 +100,23 @@
   await withControlStore(address, async (store) => {
     const { configuration } = await store.readConfiguration();
     print(
-      configuration === null ? "nothing is in force" : asYaml(configuration),
+      configuration === null
+        ? "no configuration is published"
+        : toYaml(configuration),
     );
   });
 }
 
 async function diff({ folder, site, store }: SiteOptions): Promise<void> {
-  await withControlStore(store, async (control) => {
-    const { configuration } = await control.readConfiguration();
+  await withControlStore(store, async (controlStore) => {
+    const { configuration } = await controlStore.readConfiguration();
     const version = configuration?.version ?? 0;
     const next = siteConfiguration(readDeclaration(folder), site, version);
-    const lines = differences(
-      configuration === null ? "" : asYaml(configuration),
-      asYaml(next),
+    const lines = diffLines(
+      configuration === null ? "" : toYaml(configuration),
+      toYaml(next),
     );
-    print(lines.length === 0 ? "no difference" : lines.join("\n"));
+    print(lines.length === 0 ? "no differences" : lines.join("\n"));
   });
 }
 
@@ -128,45 +131,49 @@
       message: `expected one of ${sites.join(", ")}, found '${site}'`,
     }]);
   }
-  await withControlStore(store, async (control) => {
-    const { configuration, end } = await control.readConfiguration();
+  await withControlStore(store, async (controlStore) => {
+    const { configuration, end } = await controlStore.readConfiguration();
     const version = (configuration?.version ?? 0) + 1;
     const next = siteConfiguration(declaration, site, version);
     try {
-      await control.publish(next, end);
+      await controlStore.publish(next, end);
     } catch (error) {
-      if (!control.isConflict(error)) throw error;
-      print(`refused: ${(error as Error).message}`);
-      process.exitCode = EXIT.failed;
+      if (!controlStore.isConflict(error)) throw error;
+      print(`publication rejected: ${(error as Error).message}`);
+      process.exitCode = EXIT_CODE.failed;
       return;
     }
     print(`published version ${version}`);
   });
 }
 
-/** Lets `act` use the store at an address, and closes it. */
+/** Runs `action` with a client of the store at `address`, then closes the client. */
 export async function withControlStore(
   address: string,
-  act: (store: ControlStore) => Promise<void>,
+  action: (store: ControlStore) => Promise<void>,
 ): Promise<void> {
   const store = PlatformStore.create(address, "operator", "operator");
   try {
-    await act(store);
+    await action(store);
   } finally {
     store.close();
   }
 }
 
-function asYaml(configuration: Configuration): string {
+function toYaml(configuration: Configuration): string {
   return stringify(configuration);
 }
 
-/** Lines that only one of two texts has, with `-` or `+` before them. */
-function differences(before: string, after: string): string[] {
-  const old = before.split("\n");
-  const next = after.split("\n");
+/** Lines that only one of the texts contains, prefixed with `-` or `+`. */
+function diffLines(before: string, after: string): string[] {
+  const oldLines = before.split("\n");
+  const newLines = after.split("\n");
   return [
-    ...old.filter((line) => !next.includes(line)).map((line) => `- ${line}`),
-    ...next.filter((line) => !old.includes(line)).map((line) => `+ ${line}`),
+    ...oldLines.filter((line) => !newLines.includes(line)).map((line) =>
+      `- ${line}`
+    ),
+    ...newLines.filter((line) => !oldLines.includes(line)).map((line) =>
+      `+ ${line}`
+    ),
   ];
 }
--- a/src/cli/demo.ts
+++ b/src/cli/demo.ts
@@ -1,5 +1,6 @@
 /**
- * A whole small system in one process.
+ * A complete small deployment in one process: entry processes, stand-ins of
+ * backend servers and a stand-in of the platform's store.
  *
  * @module
  */
@@ -27,17 +28,17 @@
 } from "../stand_ins/index.ts";
 
 const LOOPBACK = "127.0.0.1";
-/** Ports below those that kernels give to outgoing connections. */
-const LOWEST_PORT = 20_000;
-const HIGHEST_PORT = 32_000;
-const ENTRIES = 3;
-const SERVERS = 3;
+/** Range of ports below those that kernels assign to outgoing connections. */
+const MINIMUM_PORT = 20_000;
+const MAXIMUM_PORT = 32_000;
+const ENTRY_COUNT = 3;
+const SERVERS_PER_SERVICE = 3;
 const ZONES = ["larisa", "volos", "trikala"];
 const SITE = "thessalia";
-/** Time in which the system must be ready, in milliseconds. */
+/** Time within which the deployment must be ready, in milliseconds. */
 const READY_TIMEOUT = 25_000;
 
-/** Host that the demo's routes are reached under. */
+/** Host name of the demo's routes. */
 export const DEMO_HOST = "co-operative.example";
 
 const DECLARATION = declarationSchema.parse({
@@ -63,13 +64,13 @@
     readonly store: StoreService,
     readonly servers: BackendService[],
     private readonly processes: EntryProcess[],
-    /** Where callers connect. */
-    readonly entries: string[],
-    /** Where operators ask. */
-    readonly admins: string[],
+    /** Addresses that callers connect to. */
+    readonly entryAddresses: string[],
+    /** Addresses that serve status and metrics to operators. */
+    readonly adminAddresses: string[],
   ) {}
 
-  /** Starts everything and resolves when it serves. */
+  /** Starts all processes and resolves when they are ready to serve requests. */
   static async start(): Promise<Demo> {
     const store = await StoreService.start(
       storeServiceSchema.parse({ listen: `${LOOPBACK}:0` }),
@@ -77,7 +78,7 @@
     const servers = await startServers(store.address);
     await publish(store.address);
     const settings: EntrySettings[] = [];
-    for (let i = 0; i < ENTRIES; i++) {
+    for (let i = 0; i < ENTRY_COUNT; i++) {
       settings.push(await entrySettings(i, store.address));
     }
     const processes: EntryProcess[] = [];
@@ -91,11 +92,11 @@
       settings.map((each) => each.listen),
       settings.map((each) => each.admin),
     );
-    await demo.#ready();
+    await demo.#waitUntilReady();
     return demo;
   }
 
-  /** Stops everything. */
+  /** Shuts down the entry processes, then the stand-ins. */
   async stop(): Promise<void> {
     for (const process of this.processes) process.shutdown();
     await Promise.all(this.processes.map((process) => process.stopped));
@@ -103,19 +104,19 @@
     this.store.close();
   }
 
-  async #ready(): Promise<void> {
+  async #waitUntilReady(): Promise<void> {
     const end = Date.now() + READY_TIMEOUT;
-    while (!this.processes.every(isServing)) {
+    while (!this.processes.every(isFullyReady)) {
       if (Date.now() > end) throw new Error("the demo did not become ready");
       await delay(20);
     }
   }
 }
 
-/** Whether a process knows servers and where all keys are. */
-function isServing(process: EntryProcess): boolean {
+/** Whether an entry process knows all servers and the owners of all keys. */
+function isFullyReady(process: EntryProcess): boolean {
   const { isReady, servers, assignments } = process.status();
-  return isReady && servers.length === 2 * SERVERS &&
+  return isReady && servers.length === 2 * SERVERS_PER_SERVICE &&
     assignments.length > 0 &&
     assignments.every(({ ranges, open }) => ranges > 0 && ranges === open);
 }
@@ -151,10 +152,10 @@
   return entrySettingsSchema.parse({
     vm: `entry-${index + 1}`,
     availabilityZone: ZONES[index],
-    listen: await freeAddress(),
-    readiness: await freeAddress(),
-    peer: await freeAddress(),
-    admin: await freeAddress(),
+    listen: await findFreeAddress(),
+    readiness: await findFreeAddress(),
+    peer: await findFreeAddress(),
+    admin: await findFreeAddress(),
     store: { address: store },
     shutdownTimeoutSeconds: 1,
   });
@@ -170,24 +171,24 @@
     headers: PlatformHeaders.create(),
     orders: PlatformOrders.create(),
   };
-  return EntryProcess.start(settings, platform, discard(), seed);
+  return EntryProcess.start(settings, platform, createDiscardStream(), seed);
 }
 
-/** An address of this machine that is free now. */
-async function freeAddress(): Promise<string> {
-  const port = randomInt(LOWEST_PORT, HIGHEST_PORT);
+/** Finds a loopback address whose port is free now. */
+async function findFreeAddress(): Promise<string> {
+  const port = randomInt(MINIMUM_PORT, MAXIMUM_PORT);
   const server = createServer();
   try {
     await once(server.listen(port, LOOPBACK), "listening");
   } catch {
-    return freeAddress();
+    return findFreeAddress();
   }
   server.close();
   await once(server, "close");
   return `${LOOPBACK}:${port}`;
 }
 
-/** Takes log lines and keeps none. */
-function discard(): Writable {
+/** A stream that discards the log lines written to it. */
+function createDiscardStream(): Writable {
   return new Writable({ write: (_chunk, _encoding, done) => done() });
 }
--- a/src/cli/demo_command.ts
+++ b/src/cli/demo_command.ts
@@ -1,5 +1,6 @@
 /**
- * `plumloft demo`: the whole path in one process on embedded stand-ins.
+ * `plumloft demo`: runs entry processes, backend servers and a store in one
+ * process and sends requests through them.
  *
  * @module
  */
@@ -7,23 +8,23 @@
 import type { Argv } from "yargs";
 import { PlatformHeaders } from "../../platform/index.ts";
 import { Demo, DEMO_HOST } from "./demo.ts";
-import { EXIT } from "./exit_code.ts";
+import { EXIT_CODE } from "./exit_code.ts";
 
 /** Key of the demo's requests. */
-const KEY = 4_711;
-/** Milliseconds for which the demo's callers wait. */
-const TIMEOUT = 2_000;
+const REQUEST_KEY = 4_711;
+/** Time that the demo's callers wait for an answer, in milliseconds. */
+const CALLER_TIMEOUT = 2_000;
 
-/** Adds the command to `yargs`. */
+/** Registers the command with `yargs`. */
 export function addDemoCommand(yargs: Argv): Argv {
   return yargs.command(
     "demo",
-    "run the whole path in one process",
+    "run a complete small deployment in one process",
     (argv) =>
       argv.option("check", {
         type: "boolean",
         default: false,
-        describe: "send the requests, check the answers and end",
+        describe: "send the requests, check the answers and exit",
       }),
     ({ check }) => check ? runCheck() : runDemo(),
   );
@@ -31,18 +32,18 @@
 
 async function runDemo(): Promise<void> {
   const demo = await Demo.start();
-  const [entry] = demo.entries;
-  const headers = Object.entries(callerHeaders("r-1", KEY))
+  const [entry] = demo.entryAddresses;
+  const headers = Object.entries(callerHeaders("r-1", REQUEST_KEY))
     .map(([name, value]) => `-H '${name}: ${value}'`).join(" ");
   process.stdout.write([
     "plumloft demo: 3 entry VMs, 6 backend servers and a store in one process",
-    ...await sendBoth(demo),
+    ...await sendRequests(demo),
     "",
     "send more with:",
     `  curl -i -X PUT ${headers} -d '12 sheets' http://${entry}/stock/hide-7`,
     `  curl -i ${headers} http://${entry}/stock/hide-7`,
-    `  npm run --silent plumloft -- status --vm ${demo.admins[0]}`,
-    "Ctrl-C ends it.",
+    `  npm run --silent plumloft -- status --vm ${demo.adminAddresses[0]}`,
+    "Press Ctrl-C to stop.",
     "",
   ].join("\n"));
   await new Promise<void>((resolve) => {
@@ -55,25 +56,46 @@
 async function runCheck(): Promise<void> {
   const demo = await Demo.start();
   try {
-    const lines = await sendBoth(demo);
+    const lines = await sendRequests(demo);
     process.stdout.write(`demo check passed: ${lines.join("; ")}\n`);
   } catch (error) {
     process.stdout.write(`demo check failed: ${(error as Error).message}\n`);
-    process.exitCode = EXIT.failed;
+    process.exitCode = EXIT_CODE.failed;
   } finally {
     await demo.stop();
   }
 }
 
-/** Sends a keyed and an un-keyed request and checks the answers. */
-async function sendBoth(demo: Demo): Promise<string[]> {
+/**
+ * Sends keyed requests and one without a key, checks the answers, and returns a
+ * line for each request with the server that ran it.
+ */
+async function sendRequests(demo: Demo): Promise<string[]> {
   const stored = "12 sheets";
   const put = { method: "PUT" as const, body: stored };
-  await expectAnswer(demo.entries[0], "/stock/hide-7", put, "d-1", stored);
+  await expectAnswer(
+    demo.entryAddresses[0],
+    "/stock/hide-7",
+    put,
+    "d-1",
+    stored,
+  );
   const get = { method: "GET" as const };
-  await expectAnswer(demo.entries[1], "/stock/hide-7", get, "d-2", stored);
+  await expectAnswer(
+    demo.entryAddresses[1],
+    "/stock/hide-7",
+    get,
+    "d-2",
+    stored,
+  );
   const post = { method: "POST" as const, body: "list" };
-  await expectAnswer(demo.entries[2], "/catalogue/all", post, "d-3", "list");
+  await expectAnswer(
+    demo.entryAddresses[2],
+    "/catalogue/all",
+    post,
+    "d-3",
+    "list",
+  );
   const runs = demo.servers.flatMap((each) => each.runs);
   return runs.map((run) => `${run.requestId} ran on ${run.server}`);
 }
@@ -85,7 +107,7 @@
   id: string,
   expected: string,
 ): Promise<void> {
-  const headers = callerHeaders(id, KEY);
+  const headers = callerHeaders(id, REQUEST_KEY);
   const answer = await request(`http://${entry}${path}`, {
     ...options,
     headers,
@@ -98,6 +120,6 @@
 }
 
 function callerHeaders(id: string, key: number): Record<string, string> {
-  const facts = { id, timeout: TIMEOUT, key };
-  return { host: DEMO_HOST, ...PlatformHeaders.create().forCaller(facts) };
+  const fields = { id, timeout: CALLER_TIMEOUT, key };
+  return { host: DEMO_HOST, ...PlatformHeaders.create().forCaller(fields) };
 }
--- a/src/cli/evacuate_command.ts
+++ b/src/cli/evacuate_command.ts
@@ -1,6 +1,6 @@
 /**
- * `plumloft evacuate`: asks all VMs to send nothing more to the backend servers of an
- * availability zone, or takes that back.
+ * `plumloft evacuate`: tells all VMs to stop sending requests to the backend
+ * servers of an availability zone, or revokes that.
  *
  * @module
  */
@@ -13,17 +13,17 @@
   undo: boolean;
 }
 
-/** Adds the command to the parser. */
+/** Registers the command with `argv`. */
 export function addEvacuateCommand(argv: Argv): Argv {
   return argv.command(
     "evacuate <zone>",
-    "send nothing more to the backend servers of an availability zone",
+    "stop sending requests to the backend servers of an availability zone",
     (command) =>
       command
         .positional("zone", {
           type: "string",
           demandOption: true,
-          describe: "availability zone as the servers' entries name it",
+          describe: "availability zone, as in the servers' registry entries",
         })
         .option("store", {
           type: "string",
@@ -33,7 +33,7 @@
         .option("undo", {
           type: "boolean",
           default: false,
-          describe: "take the request back",
+          describe: "revoke the evacuation",
         }),
     (options) => evacuate(options),
   );
@@ -41,6 +41,6 @@
 
 async function evacuate({ zone, store, undo }: EvacuateOptions): Promise<void> {
   await withControlStore(store, (control) => control.evacuate(zone, !undo));
-  const text = undo ? `taken back: ${zone}` : `evacuated: ${zone}`;
+  const text = undo ? `evacuation revoked: ${zone}` : `evacuated: ${zone}`;
   process.stdout.write(`${text}\n`);
 }
--- a/src/cli/exit_code.ts
+++ b/src/cli/exit_code.ts
@@ -4,13 +4,13 @@
  * @module
  */
 
-/** What a command's end says to the shell. */
-export const EXIT = {
+/** Exit status of a command. */
+export const EXIT_CODE = {
   ok: 0,
-  /** Something failed that may go well another time. */
+  /** The command failed; it may succeed when run again. */
   failed: 1,
-  /** Input has to be mended first; nothing was changed. */
+  /** The input is invalid; nothing was changed. */
   invalid: 2,
-  /** A publication was refused since another came first. */
+  /** A publication was rejected because of a concurrent one. */
   refused: 3,
 } as const;
--- a/src/cli/explain_command.ts
+++ b/src/cli/explain_command.ts
@@ -1,5 +1,5 @@
 /**
- * `plumloft explain`: what happened to one request, from logs.
+ * `plumloft explain`: reports from logs what happened to one request.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import type { Argv } from "yargs";
 import { findStory, type StoryLine } from "../logging/story.ts";
 
-/** Stands for standard input among files. */
+/** File name that means standard input. */
 const STANDARD_INPUT = "-";
 
 interface ExplainOptions {
@@ -16,11 +16,11 @@
   files?: string[];
 }
 
-/** Adds the command to `yargs`. */
+/** Registers the command with `yargs`. */
 export function addExplainCommand(yargs: Argv): Argv {
   return yargs.command(
     "explain [files..]",
-    "tell what happened to a request, from log files or standard input",
+    "report what happened to a request, from log files or standard input",
     (argv) =>
       argv
         .option("request", {
@@ -31,7 +31,7 @@
         .positional("files", {
           type: "string",
           array: true,
-          describe: "log files; - or none for standard input",
+          describe: "log files; standard input if - or none",
         }),
     (options) => explain(options),
   );
@@ -49,11 +49,11 @@
     }
   }
   const story = findStory(request, lines);
-  for (const line of story.lines) process.stdout.write(`${format(line)}\n`);
+  for (const line of story.lines) process.stdout.write(`${formatLine(line)}\n`);
   process.stdout.write(`cause: ${story.cause}\n`);
 }
 
-function format({ time, vm, decision, detail }: StoryLine): string {
+function formatLine({ time, vm, decision, detail }: StoryLine): string {
   const fields = Object.entries(detail)
     .map(([name, value]) => `${name}=${value}`).join(" ");
   return `${time} ${vm} ${decision} ${fields}`;
--- a/src/cli/history_command.ts
+++ b/src/cli/history_command.ts
@@ -1,25 +1,27 @@
 /**
- * `plumloft history`: checks recorded histories.
+ * `plumloft check-history`: checks a recorded history of requests against the
+ * system's invariants.
  *
  * @module
  */
 import type { Argv } from "yargs";
 import { checkHistory, longestGap, readHistory } from "../load/index.ts";
-import { EXIT } from "./exit_code.ts";
+import { EXIT_CODE } from "./exit_code.ts";
 
-/** Breaches of one kind that are printed. */
-const SHOWN = 5;
+/** Maximum number of breaches that are printed for each invariant. */
+const MAXIMUM_PRINTED_BREACHES = 5;
 
-/** Adds the command to `yargs`. */
+/** Registers the command with `yargs`. */
 export function addHistoryCommand(yargs: Argv): Argv {
   return yargs.command(
     "check-history <file>",
-    "check a recorded history for breaches of what must hold",
+    "check a recorded history for breaches of the system's invariants",
     (argv) =>
       argv.positional("file", {
         type: "string",
         demandOption: true,
-        describe: "JSON lines of calls and runs",
+        describe:
+          "JSON lines of calls (requests of callers) and runs (work of servers)",
       }),
     ({ file }) => check(file),
   );
@@ -31,10 +33,10 @@
   process.stdout.write(`${calls.length} calls, ${runs.length} runs\n`);
   for (const { name, breaches } of checkHistory(history)) {
     process.stdout.write(`${name}: ${breaches.length} breaches\n`);
-    for (const breach of breaches.slice(0, SHOWN)) {
+    for (const breach of breaches.slice(0, MAXIMUM_PRINTED_BREACHES)) {
       process.stdout.write(`  ${breach}\n`);
     }
-    if (breaches.length > 0) process.exitCode = EXIT.failed;
+    if (breaches.length > 0) process.exitCode = EXIT_CODE.failed;
   }
   const { key, gap } = longestGap(history);
   process.stdout.write(`longest gap: ${gap} ms (${key})\n`);
--- a/src/cli/load_command.ts
+++ b/src/cli/load_command.ts
@@ -1,5 +1,5 @@
 /**
- * `plumloft load`: a bounded load of callers.
+ * `plumloft load`: sends a bounded load of requests.
  *
  * @module
  */
@@ -24,18 +24,18 @@
   history?: string;
 }
 
-/** Adds the command to `yargs`. */
+/** Registers the command with `yargs`. */
 export function addLoadCommand(yargs: Argv): Argv {
   return yargs.command(
     "load",
-    "send a bounded load and record what callers saw",
+    "send a bounded load of requests and record the outcomes",
     (argv) =>
       argv
         .option("target", {
           type: "string",
           array: true,
           demandOption: true,
-          describe: "entries, such as 127.0.0.1:8080",
+          describe: "addresses of entry processes, such as 127.0.0.1:8080",
         })
         .option("service", { type: "string", demandOption: true })
         .option("host", { type: "string", demandOption: true })
@@ -44,7 +44,7 @@
         .option("keys", {
           type: "number",
           default: 0,
-          describe: "number of different keys; 0 for none",
+          describe: "number of distinct keys; 0 for requests without a key",
         })
         .option("method", {
           choices: ["GET", "POST", "PUT"],
@@ -57,11 +57,11 @@
         .option("pause", {
           type: "number",
           default: 0,
-          describe: "ms between two requests of a caller",
+          describe: "milliseconds between two requests of a caller",
         })
         .option("history", {
           type: "string",
-          describe: "file for the history, in JSON lines",
+          describe: "file to write the history to, as JSON lines",
         }),
     (options) => load(options),
   );
@@ -83,13 +83,13 @@
     callers: options.callers,
     pause: options.pause,
   };
-  const file = options.history === undefined
+  const historyFile = options.history === undefined
     ? null
     : createWriteStream(options.history);
   const result = await runLoad(plan, (call) => {
-    file?.write(`${JSON.stringify(call)}\n`);
+    historyFile?.write(`${JSON.stringify(call)}\n`);
   });
-  file?.end();
+  historyFile?.end();
   const { calls, latencies, seconds } = result;
   process.stdout.write(`${
     JSON.stringify({
--- a/src/cli/serve_command.ts
+++ b/src/cli/serve_command.ts
@@ -1,5 +1,5 @@
 /**
- * `plumloft serve`: an entry process.
+ * `plumloft serve`: runs an entry process.
  *
  * @module
  */
@@ -18,7 +18,7 @@
   readYamlFile,
 } from "../settings/index.ts";
 
-/** Adds the command to `yargs`. */
+/** Registers the command with `yargs`. */
 export function addServeCommand(yargs: Argv): Argv {
   return yargs.command(
     "serve",
@@ -27,7 +27,7 @@
       argv.option("settings", {
         type: "string",
         demandOption: true,
-        describe: "settings of the process, in YAML",
+        describe: "YAML file with the settings of the process",
       }),
     ({ settings }) => serve(settings),
   );
@@ -35,12 +35,13 @@
 
 async function serve(file: string): Promise<void> {
   const settings = readYamlFile(file, entrySettingsSchema).value;
-  const run = randomBytes(4);
+  const seed = randomBytes(4);
   const { address } = settings.store;
   const platform = {
-    // Whoever listens at the peer address is the only process there, so a new
-    // run may go on as the member that its predecessor was: after a loss of all
-    // VMs nobody waits until the store has forgotten the old members.
+    // Only one process can listen at the peer address, so a restarted process
+    // reuses its predecessor's member name in the store's groups. Otherwise,
+    // after all VMs are lost, the new members would wait until the store expires
+    // the old ones.
     store: PlatformStore.create(address, settings.vm, settings.peer),
     headers: PlatformHeaders.create(),
     orders: PlatformOrders.create(),
@@ -49,29 +50,30 @@
     settings,
     platform,
     process.stdout,
-    run.readUInt32BE(0),
+    seed.readUInt32BE(0),
   );
-  // Before anything else can come: without a listener a signal kills a process
-  // that accepts connections already. A start that fails is told below.
-  const started = (act: (entry: EntryProcess) => void) => () =>
-    void starting.then(act, () => {});
-  // Each time: a second one would kill the process as well.
-  process.on("SIGTERM", started((entry) => entry.shutdown()));
-  process.once("SIGINT", started((entry) => entry.shutdown()));
-  process.on("SIGHUP", started((entry) => reload(entry, file, settings)));
+  // Register the handlers before the start completes: without one, a signal
+  // would kill a process that already accepts connections. A failed start is
+  // reported by the `await` below.
+  const whenStarted = (action: (entry: EntryProcess) => void) => () =>
+    void starting.then(action, () => {});
+  // `on` rather than `once`: a second SIGTERM would kill the process.
+  process.on("SIGTERM", whenStarted((entry) => entry.shutdown()));
+  process.once("SIGINT", whenStarted((entry) => entry.shutdown()));
+  process.on("SIGHUP", whenStarted((entry) => reload(entry, file, settings)));
   const entry = await starting;
   await entry.stopped;
 }
 
-/** Looks at the settings again; broken ones change nothing. */
+/** Reads the settings file again; invalid settings are reported and ignored. */
 function reload(
   entry: EntryProcess,
   file: string,
   settings: EntrySettings,
 ): void {
   try {
-    const now = readYamlFile(file, entrySettingsSchema).value;
-    entry.reloaded(JSON.stringify(now) !== JSON.stringify(settings));
+    const current = readYamlFile(file, entrySettingsSchema).value;
+    entry.reloaded(JSON.stringify(current) !== JSON.stringify(settings));
   } catch (error) {
     entry.reloadFailed(errorText(error));
   }
--- a/src/cli/stand_in_command.ts
+++ b/src/cli/stand_in_command.ts
@@ -1,6 +1,6 @@
 /**
- * `plumloft stand-in`: small stand-ins of the platform's store and of backend
- * servers.
+ * `plumloft stand-in`: runs a minimal implementation of the platform's store or
+ * of a backend server, for tests and demos.
  *
  * @module
  */
@@ -15,30 +15,31 @@
   storeServiceSchema,
 } from "../stand_ins/index.ts";
 
-/** Adds the commands to `yargs`. */
+/** Registers the command and its subcommands with `yargs`. */
 export function addStandInCommand(yargs: Argv): Argv {
   return yargs.command(
     "stand-in",
     "run a stand-in of the store or of a backend server",
     (argv) => {
-      addOne(
+      addStandIn(
         argv,
         "store",
         storeServiceSchema,
         (settings) => StoreService.start(settings),
       );
-      addOne(
+      addStandIn(
         argv,
         "backend",
         backendServiceSchema,
         (settings) => BackendService.start(settings),
       );
-      return argv.demandCommand(1, "name one of: store, backend").strict();
+      return argv.demandCommand(1, "missing subcommand: store or backend")
+        .strict();
     },
   );
 }
 
-function addOne<T>(
+function addStandIn<T>(
   yargs: Argv,
   name: string,
   schema: z.ZodType<T>,
@@ -46,12 +47,12 @@
 ): void {
   yargs.command(
     name,
-    `stand-in: ${name}`,
+    `run a stand-in: ${name}`,
     (argv) =>
       argv.option("settings", {
         type: "string",
         demandOption: true,
-        describe: "settings, in YAML",
+        describe: "YAML file with the settings",
       }),
     async ({ settings }) => {
       const standIn = await start(readYamlFile(settings, schema).value);
--- a/src/cli/status_command.ts
+++ b/src/cli/status_command.ts
@@ -1,5 +1,5 @@
 /**
- * `plumloft status`: what one VM believes.
+ * `plumloft status`: prints the state of one VM's entry process.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 import type { EntryStatus } from "../core/entry_status.ts";
 import { errorText, StepError } from "../errors/index.ts";
 
-/** Time between two looks, in milliseconds. */
+/** Interval between two reads with `--watch`, in milliseconds. */
 const WATCH_INTERVAL = 1_000;
 
 interface StatusOptions {
@@ -18,11 +18,11 @@
   watch: boolean;
 }
 
-/** Adds the command to `yargs`. */
+/** Registers the command with `yargs`. */
 export function addStatusCommand(yargs: Argv): Argv {
   return yargs.command(
     "status",
-    "show what one VM believes",
+    "show the state of one VM",
     (argv) =>
       argv
         .option("vm", {
@@ -33,18 +33,18 @@
         .option("json", {
           type: "boolean",
           default: false,
-          describe: "print the whole status as JSON",
+          describe: "print the complete status as JSON",
         })
         .option("watch", {
           type: "boolean",
           default: false,
-          describe: "print it again every second",
+          describe: "print the status every second",
         }),
-    (options) => show(options),
+    (options) => printStatus(options),
   );
 }
 
-async function show({ vm, json, watch }: StatusOptions): Promise<void> {
+async function printStatus({ vm, json, watch }: StatusOptions): Promise<void> {
   do {
     const status = await readStatus(vm);
     const text = json ? JSON.stringify(status) : formatStatus(status);
@@ -62,16 +62,16 @@
   }
 }
 
-/** The status as lines for people. */
+/** Formats the status as human-readable lines. */
 export function formatStatus(status: EntryStatus): string {
   const { configuration, term } = status;
   const lines = [
     `configuration  version ${configuration.version}, ${configuration.routes} routes`,
     `readiness      ${status.isReady ? "ready" : "not ready"}`,
-    `store          answered ${status.storeSilence} ms ago`,
-    `term           ${term.phase}, holder at ${
-      term.holder ?? "nowhere"
-    }, heard ${term.holderSilence} ms ago`,
+    `store          last answer ${status.storeSilence} ms ago`,
+    `term           ${term.phase}, holder ${
+      term.holder ?? "unknown"
+    }, last message ${term.holderSilence} ms ago`,
     `VMs            ${status.vms ?? "unknown"}`,
     `pending        ${status.pending} requests`,
   ];
@@ -86,7 +86,7 @@
   for (const { fingerprint, target, ends, left } of status.quarantine) {
     const seconds = Math.ceil(left / 1_000);
     lines.push(
-      `held back: ${target} (${fingerprint}), ${ends} servers ended under it, ${seconds} s left`,
+      `held back: ${target} (${fingerprint}), ${ends} servers crashed while they processed it, ${seconds} s left`,
     );
   }
   for (const server of status.servers) {
@@ -104,7 +104,7 @@
       : `${server.latency.toFixed(1)} ms`;
     const limit = server.rateLimit === null
       ? ""
-      : `, takes ${server.rateLimit} requests/s`;
+      : `, limit ${server.rateLimit} requests/s`;
     lines.push(
       `  ${server.id.padEnd(20)} ${server.service.padEnd(16)} ${
         state.padEnd(9)
--- a/src/main.ts
+++ b/src/main.ts
@@ -5,10 +5,10 @@
  */
 import { runCommandLine } from "./cli/index.ts";
 
-/** Arguments before those of the command: the program and its script. */
-const OWN_ARGUMENTS = 2;
+/** Number of arguments before the command: the paths of Node.js and the script. */
+const LEADING_ARGUMENTS = 2;
 
-void runCommandLine(process.argv.slice(OWN_ARGUMENTS)).then(() => {
-  // Connections that libraries keep warm must not outlive the command.
+void runCommandLine(process.argv.slice(LEADING_ARGUMENTS)).then(() => {
+  // Idle keep-alive connections of libraries would keep the process running.
   process.exit();
 });
--- a/src/version.ts
+++ b/src/version.ts
@@ -4,5 +4,5 @@
  * @module
  */
 
-/** Version of the product, as in package.json. */
+/** The same version as in package.json. */
 export const VERSION = "0.10.0";
