--- a/src/errors/step_error.ts
+++ b/src/errors/step_error.ts
@@ -1,19 +1,20 @@
 /**
- * Errors towards other processes: each carries the step and the peer at which it arose.
+ * Errors of communication with other processes. Each error carries the operation
+ * that failed and the process that it was addressed to.
  *
  * @module
  */
 import VError from "verror";
 
-/** What an error carries besides its cause. */
+/** Context of an error besides its cause. */
 export interface StepInfo {
-  /** What was being done, such as `append to log`. */
+  /** The operation that failed, such as `append to log`. */
   step: string;
-  /** Address or name of the other side. */
+  /** Address or name of the other process. */
   peer: string;
 }
 
-/** Raised when a step towards a peer fails. */
+/** Thrown when an operation on another process fails. */
 export class StepError extends VError {
   protected constructor(
     readonly info: StepInfo,
@@ -29,7 +30,7 @@
     );
   }
 
-  /** An error at `step` towards `peer`. */
+  /** Creates an error for a failed operation `step` on `peer`. */
   static create(
     step: string,
     peer: string,
@@ -40,7 +41,7 @@
   }
 }
 
-/** The text of anything that was thrown. */
+/** The message of a thrown value, prefixed with its error code if it has one. */
 export function errorText(error: unknown): string {
   if (!(error instanceof Error)) return String(error);
   const { code } = error as NodeJS.ErrnoException;
--- a/src/settings/declaration_files.ts
+++ b/src/settings/declaration_files.ts
@@ -1,5 +1,5 @@
 /**
- * Reads the base file and the overlay of each site.
+ * Reads a declaration: the base file and the overlay file of each site.
  *
  * @module
  */
@@ -16,40 +16,40 @@
 import { InvalidInput } from "./invalid_input.ts";
 import { readYamlFile, type YamlFile } from "./yaml_file.ts";
 
-/** Name of the base file in a folder of a declaration. */
+/** Name of the base file within a declaration folder. */
 export const BASE_FILE = "base.yaml";
-/** Folder of the overlays within a folder of a declaration. */
+/** Folder of the overlay files within a declaration folder. */
 export const OVERLAY_FOLDER = "sites";
 
 /**
- * Reads `base.yaml` and `sites/*.yaml` below `folder`. Throws
- * {@linkcode InvalidInput} that lists every fault.
+ * Reads and checks `base.yaml` and `sites/*.yaml` in `folder`. Throws an
+ * {@linkcode InvalidInput} that lists all issues.
  */
 export function readDeclaration(folder: string): Declaration {
   const base = readYamlFile<Base>(join(folder, BASE_FILE), baseSchema);
-  const overlays = overlayFiles(folder).map((file) =>
+  const overlays = listOverlayFiles(folder).map((file) =>
     readYamlFile<Overlay>(file, overlaySchema)
   );
   const declaration = {
     base: base.value,
     overlays: overlays.map((file) => file.value),
   };
-  const faults = checkDeclaration(declaration);
-  if (faults.length === 0) return declaration;
-  throw InvalidInput.create(faults.map((fault) => {
-    const file: YamlFile<unknown> = overlays.findLast((each) =>
-      each.value.site === fault.document
+  const issues = checkDeclaration(declaration);
+  if (issues.length === 0) return declaration;
+  throw InvalidInput.create(issues.map((issue) => {
+    const file: YamlFile<unknown> = overlays.findLast((overlay) =>
+      overlay.value.site === issue.document
     ) ?? base;
     return {
       file: file.file,
-      line: file.lineOf(fault.path),
-      path: fault.path.join("."),
-      message: fault.message,
+      line: file.lineOf(issue.path),
+      path: issue.path.join("."),
+      message: issue.message,
     };
   }));
 }
 
-function overlayFiles(folder: string): string[] {
+function listOverlayFiles(folder: string): string[] {
   const path = join(folder, OVERLAY_FOLDER);
   if (statSync(path, { throwIfNoEntry: false }) === undefined) return [];
   return readdirSync(path)
--- a/src/settings/declaration_files_test.ts
+++ b/src/settings/declaration_files_test.ts
@@ -12,8 +12,8 @@
   lookup: { host: h.example, path: /stock/, to: stock }
 `;
 
-/** The message for a folder with that overlay, without the folder's name. */
-function messageFor(overlay: string, base = BASE): string {
+/** The error message for a folder with this overlay, without the folder's path. */
+function readMessage(overlay: string, base = BASE): string {
   const folder = mkdtempSync(join(tmpdir(), "plumloft-declaration-"));
   mkdirSync(join(folder, "sites"));
   writeFileSync(join(folder, "base.yaml"), base);
@@ -26,15 +26,15 @@
   }
 }
 
-test("readDeclaration: reports faults that span files", (t) => {
+test("readDeclaration: reports issues that span files", (t) => {
   t.snapshot({
-    sound: messageFor("site: s\n"),
-    unknownService: messageFor(
+    sound: readMessage("site: s\n"),
+    unknownService: readMessage(
       "site: s\nservices:\n  stok: { connections: 3 }\n",
     ),
-    unknownRoute: messageFor("site: s\nroutes:\n  look: { timeout: 3 }\n"),
-    unknownTarget: messageFor("site: s\nroutes:\n  lookup: { to: stok }\n"),
-    unknownField: messageFor("site: s\n", `${BASE}colour: red\n`),
+    unknownRoute: readMessage("site: s\nroutes:\n  look: { timeout: 3 }\n"),
+    unknownTarget: readMessage("site: s\nroutes:\n  lookup: { to: stok }\n"),
+    unknownField: readMessage("site: s\n", `${BASE}colour: red\n`),
   });
 });
 
--- a/src/settings/entry_settings.ts
+++ b/src/settings/entry_settings.ts
@@ -1,6 +1,7 @@
 /**
- * Settings of one entry process. A process learns its addresses and its
- * availability zone from here and nowhere else. Durations are milliseconds.
+ * Settings of one entry process. They are the only source of the process's
+ * addresses and availability zone. Durations are in milliseconds unless the name
+ * says otherwise.
  *
  * @module
  */
@@ -13,36 +14,37 @@
 export const entrySettingsSchema = z.object({
   vm: z.string().min(1),
   availabilityZone: z.string().min(1),
-  /** Where callers connect. */
+  /** Address that callers connect to. */
   listen: addressSchema,
-  /** Where the balancer asks whether this VM takes connections. */
+  /** Address of the readiness check that the load balancer reads. */
   readiness: addressSchema,
-  /** Where the other entry processes connect. */
+  /** Address that the other entry processes connect to. */
   peer: addressSchema,
-  /** Peers to ask while the store cannot be reached; some may be gone. */
+  /** Peers to contact while the store is unreachable; some may no longer exist. */
   seeds: z.array(addressSchema).default([]),
-  /** Where operators ask for metrics. */
+  /** Address that serves metrics and status to operators. */
   admin: addressSchema,
   store: z.object({
     address: addressSchema,
-    /** Time after which the store takes a silent member out of its group; the
-     * shortest that it allows or longer. */
+    /** Time without a renewal after which the store removes a member from its
+     * group; the longer of this and `minimumTimeToLive` is used. */
     memberTimeToLive: z.number().int().positive().default(1_300),
+    /** Shortest time to live that the store accepts. */
     minimumTimeToLive: z.number().int().nonnegative().default(0),
   }),
-  /** What this VM has; among VMs that differ, fitter ones hold the term. */
+  /** Resources of this VM; VMs with more resources are preferred as term holder. */
   capacity: z.object({
-    /** Share of each core's time. */
+    /** Share of each core's time that this VM may use. */
     cpuShare: z.number().positive().default(1),
     cores: z.number().positive().default(1),
-    /** Bandwidth of its link, in Mbit/s. */
+    /** Bandwidth of the network link, in Mbit/s. */
     linkMegabits: z.number().positive().default(1_000),
   }).prefault({}),
   leases: leaseTimingSchema.prefault({}),
   retries: retryLimitsSchema.prefault({}),
-  /** Time within which a leaving server gets no more new work. */
+  /** Maximum time until a draining server receives no new requests. */
   drainTime: z.number().positive().default(2_000),
-  /** Time between the request to stop and the process's end by force. */
+  /** Time from a shutdown request until the process is terminated forcibly. */
   shutdownTimeoutSeconds: z.number().positive().default(6),
   logging: z.object({
     level: z.enum(["error", "warn", "info"]).default("info"),
--- a/src/settings/invalid_input.ts
+++ b/src/settings/invalid_input.ts
@@ -1,11 +1,11 @@
 /**
- * The error for input that an operator has to mend.
+ * The error for invalid input of an operator.
  *
  * @module
  */
 import VError from "verror";
 
-/** One thing that is wrong with a file. */
+/** One invalid value in a file. */
 export interface InputIssue {
   file: string;
   /** Line in the file, counted from 1; 0 when unknown. */
@@ -16,7 +16,7 @@
   message: string;
 }
 
-/** Raised when settings, configuration or arguments cannot be used. */
+/** Thrown when settings, a configuration or arguments are invalid. */
 export class InvalidInput extends VError {
   private constructor(readonly issues: readonly InputIssue[]) {
     super(
@@ -26,14 +26,16 @@
     );
   }
 
-  /** An error that lists all issues, one on each line. */
+  /** Creates an error whose message lists all issues, one on each line. */
   static create(issues: readonly InputIssue[]): InvalidInput {
     return new InvalidInput(issues);
   }
 }
 
-/** An issue as a line that editors can jump to. */
+/** Formats an issue as `FILE:LINE: PATH: MESSAGE`, which editors can jump to. */
 export function formatIssue({ file, line, path, message }: InputIssue): string {
-  const where = line > 0 ? `${file}:${line}` : file;
-  return path === "" ? `${where}: ${message}` : `${where}: ${path}: ${message}`;
+  const location = line > 0 ? `${file}:${line}` : file;
+  return path === ""
+    ? `${location}: ${message}`
+    : `${location}: ${path}: ${message}`;
 }
--- a/src/settings/yaml_file.ts
+++ b/src/settings/yaml_file.ts
@@ -1,6 +1,6 @@
 /**
- * Reads YAML files and checks them by a schema. Every fault is reported with its
- * file, line and path, what was expected and what was found.
+ * Reads YAML files and validates them with a schema. Each issue is reported with
+ * its file, line and path, the expected value and the value found.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 import type { z } from "zod";
 import { type InputIssue, InvalidInput } from "./invalid_input.ts";
 
-/** A checked file, and where its values stand. */
+/** A validated file, and the lines of its values. */
 export interface YamlFile<T> {
   file: string;
   value: T;
@@ -18,43 +18,43 @@
   lineOf(path: readonly (string | number)[]): number;
 }
 
-/** Reads and checks a file; throws {@linkcode InvalidInput}. */
+/** Reads and validates a file; throws {@linkcode InvalidInput}. */
 export function readYamlFile<T>(
   file: string,
   schema: z.ZodType<T>,
 ): YamlFile<T> {
-  return parseYaml(file, readText(file), schema);
+  return parseYaml(file, readFileText(file), schema);
 }
 
-/** Checks the text of a file; throws {@linkcode InvalidInput}. */
+/** Parses and validates the text of a file; throws {@linkcode InvalidInput}. */
 export function parseYaml<T>(
   file: string,
   text: string,
   schema: z.ZodType<T>,
 ): YamlFile<T> {
-  const lines = new LineCounter();
-  const document = parseDocument(text, { lineCounter: lines });
+  const lineCounter = new LineCounter();
+  const document = parseDocument(text, { lineCounter });
   if (document.errors.length > 0) {
     throw InvalidInput.create(document.errors.map((error) => ({
       file,
-      line: lines.linePos(error.pos[0]).line,
+      line: lineCounter.linePos(error.pos[0]).line,
       path: "",
       message: `expected YAML, found: ${error.message.split("\n")[0]}`,
     })));
   }
   const lineOf = (path: readonly (string | number)[]) =>
-    findLine(document, lines, path);
+    findLine(document, lineCounter, path);
   const found: unknown = document.toJS();
   const parsed = schema.safeParse(found);
   if (parsed.success) return { file, value: parsed.data, lineOf };
   throw InvalidInput.create(
     parsed.error.issues.flatMap((issue) =>
-      describe(file, issue, found, lineOf)
+      toInputIssues(file, issue, found, lineOf)
     ),
   );
 }
 
-function readText(file: string): string {
+function readFileText(file: string): string {
   try {
     return readFileSync(file, "utf8");
   } catch (error) {
@@ -68,7 +68,7 @@
   }
 }
 
-function describe(
+function toInputIssues(
   file: string,
   issue: z.core.$ZodIssue,
   found: unknown,
@@ -83,16 +83,18 @@
       message: "expected a known field, found an unknown one",
     }));
   }
-  const value = valueAt(found, path);
+  const value = findValue(found, path);
   return [{
     file,
     line: lineOf(path),
     path: path.join("."),
-    message: `expected ${expectation(issue)}, found ${show(value)}`,
+    message: `expected ${describeExpectation(issue)}, found ${
+      formatValue(value)
+    }`,
   }];
 }
 
-function expectation(issue: z.core.$ZodIssue): string {
+function describeExpectation(issue: z.core.$ZodIssue): string {
   if (issue.code === "invalid_type") return issue.expected;
   if (issue.code === "invalid_value") return issue.values.join(" or ");
   if (issue.code === "too_small") return `at least ${issue.minimum}`;
@@ -100,37 +102,40 @@
   return issue.message;
 }
 
-function valueAt(value: unknown, path: readonly (string | number)[]): unknown {
+function findValue(
+  value: unknown,
+  path: readonly (string | number)[],
+): unknown {
   return path.reduce<unknown>(
-    (each, part) =>
-      typeof each === "object" && each !== null
-        ? (each as Record<string | number, unknown>)[part]
+    (parent, part) =>
+      typeof parent === "object" && parent !== null
+        ? (parent as Record<string | number, unknown>)[part]
         : undefined,
     value,
   );
 }
 
-function show(value: unknown): string {
+function formatValue(value: unknown): string {
   if (value === undefined) return "nothing";
   const text = JSON.stringify(value);
   return text.length > 60 ? `${text.slice(0, 57)}...` : text;
 }
 
-/** Line of the value at `path`, or of the closest value around it. */
+/** Line of the value at `path`, or of its closest ancestor that exists. */
 function findLine(
   document: Document,
-  lines: LineCounter,
+  lineCounter: LineCounter,
   path: readonly (string | number)[],
 ): number {
   for (let length = path.length; length >= 0; length--) {
-    const node = nodeAt(document, path.slice(0, length));
+    const node = findNode(document, path.slice(0, length));
     const start = node?.range?.[0];
-    if (start !== undefined) return lines.linePos(start).line;
+    if (start !== undefined) return lineCounter.linePos(start).line;
   }
   return 0;
 }
 
-function nodeAt(
+function findNode(
   document: Document,
   path: readonly (string | number)[],
 ): Node | undefined {
--- a/src/settings/yaml_file_test.ts
+++ b/src/settings/yaml_file_test.ts
@@ -13,8 +13,8 @@
 store: { address: 127.0.0.1:5, memberTimeToLive: 1200 }
 `;
 
-/** The message for what `change` makes of the settings. */
-function errorOf(from: string, to: string): string {
+/** The error message for the settings with `from` replaced by `to`. */
+function parseMessage(from: string, to: string): string {
   const text = SETTINGS.replace(from, to);
   try {
     parseYaml("vm.yaml", text, entrySettingsSchema);
@@ -28,19 +28,19 @@
   t.snapshot(parseYaml("vm.yaml", SETTINGS, entrySettingsSchema).value);
 });
 
-test("parseYaml: names file, line, path, what was expected and found", (t) => {
+test("parseYaml: reports file, line and path, the expected and the found value", (t) => {
   t.snapshot({
-    unknownField: errorOf("vm: v", "vm: v\ncolour: red"),
-    wrongType: errorOf("vm: v", "vm: [1, 2]"),
-    missing: errorOf("peer: 127.0.0.1:3\n", ""),
-    badAddress: errorOf("127.0.0.1:2", "localhost"),
-    nested: errorOf("memberTimeToLive: 1200", "memberTimeToLive: soon"),
-    brokenYaml: errorOf("vm: v", "vm: { v"),
-    twice: errorOf("vm: v", "vm: v\nvm: w"),
+    unknownField: parseMessage("vm: v", "vm: v\ncolour: red"),
+    wrongType: parseMessage("vm: v", "vm: [1, 2]"),
+    missing: parseMessage("peer: 127.0.0.1:3\n", ""),
+    badAddress: parseMessage("127.0.0.1:2", "localhost"),
+    nested: parseMessage("memberTimeToLive: 1200", "memberTimeToLive: soon"),
+    brokenYaml: parseMessage("vm: v", "vm: { v"),
+    twice: parseMessage("vm: v", "vm: v\nvm: w"),
   });
 });
 
-test("parseYaml: finds the line of a value deep in a file", (t) => {
+test("parseYaml: reports the line of a nested value", (t) => {
   const text = `site: s
 services:
   stock: { connections: 3 }
