--- a/src/load/evidence.ts
+++ b/src/load/execution_trace.ts
@@ -1,44 +1,50 @@
 /**
- * What is recorded of a run of the system, and how breaches of
- * what must always hold are found in it.
+ * A trace of the requests that servers executed and the answers that callers
+ * received, and checks of the system's invariants on it.
  *
  * @module
  */
 
-/** One start of work at a backend server. */
-export interface WorkStart {
+/** The start of one execution of a request at a backend server. */
+export interface ExecutionStart {
   at: number;
   server: string;
   service: string;
+  /** Null for services without keys. */
   key: number | null;
+  /** Fencing token of the lease under which it ran. */
   token: number | null;
   requestId: string;
 }
 
 /** The final answer to one request. */
 export interface FinalAnswer {
-  /** Which call of a caller it answers; several may have one request id. */
+  /** Identifies the caller's attempt; attempts may share one request id. */
   call: string;
   at: number;
+  /** When the request arrived. */
   arrivedAt: number;
   requestId: string;
   kind: "served" | "not-run" | "unknown";
   reason: string;
 }
 
-/** Everything that was recorded. Times are milliseconds of one clock. */
-export interface Evidence {
-  starts: WorkStart[];
+/** All recorded events. Times are in milliseconds of one clock. */
+export interface ExecutionTrace {
+  starts: ExecutionStart[];
   answers: FinalAnswer[];
 }
 
-/** Breaches of exclusive ownership: work under an older token after a newer. */
-export function findSecondOwners({ starts }: Evidence): string[] {
-  const newest = new Map<string, WorkStart>();
-  const faults: string[] = [];
-  const keyed = starts.filter((start) => start.token !== null)
+/**
+ * Breaches of exclusive ownership: executions for a key under an older token than
+ * an earlier execution, or under the same token at another server.
+ */
+export function findOwnershipBreaches({ starts }: ExecutionTrace): string[] {
+  const newest = new Map<string, ExecutionStart>();
+  const breaches: string[] = [];
+  const keyedStarts = starts.filter((start) => start.token !== null)
     .sort((a, b) => a.at - b.at);
-  for (const start of keyed) {
+  for (const start of keyedStarts) {
     const key = `${start.service}/${start.key}`;
     const last = newest.get(key);
     if (last === undefined || start.token! > last.token!) {
@@ -46,17 +52,17 @@
       continue;
     }
     if (start.token === last.token && start.server === last.server) continue;
-    faults.push(
+    breaches.push(
       `${key}: ${start.server} started under token ${start.token} at ${
         start.at.toFixed(1)
       }, but ${last.server} had under ${last.token} at ${last.at.toFixed(1)}`,
     );
   }
-  return faults;
+  return breaches;
 }
 
-/** Requests that ran more than once. */
-export function findRepeatedRuns({ starts }: Evidence): string[] {
+/** Requests that were executed more than once. */
+export function findRepeatedExecutions({ starts }: ExecutionTrace): string[] {
   const counts = new Map<string, number>();
   for (const { requestId } of starts) {
     counts.set(requestId, (counts.get(requestId) ?? 0) + 1);
@@ -66,10 +72,12 @@
 }
 
 /**
- * Requests that were refused as not run, but ran. Work that started after the
- * refusal is excused only when the caller had sent the request once more.
+ * Requests that were reported as not run although they ran. An execution that
+ * started after the refusal is allowed only if the caller had retried by then.
  */
-export function findFalseRefusals({ starts, answers }: Evidence): string[] {
+export function findExecutedRefusals(
+  { starts, answers }: ExecutionTrace,
+): string[] {
   const startsOf = groupById(starts);
   const answersOf = groupById(answers);
   return answers
@@ -99,8 +107,8 @@
   return groups;
 }
 
-/** Requests with more than one final answer. */
-export function findRepeatedAnswers({ answers }: Evidence): string[] {
+/** Calls with more than one final answer. */
+export function findRepeatedAnswers({ answers }: ExecutionTrace): string[] {
   const seen = new Set<string>();
   return answers.filter(({ call }) => {
     const isRepeated = seen.has(call);
@@ -109,8 +117,10 @@
   }).map(({ call }) => `${call} was answered twice`);
 }
 
-/** Requests that were served although no server ran them. */
-export function findInventedAnswers({ starts, answers }: Evidence): string[] {
+/** Requests that were answered as served although no server executed them. */
+export function findAnswersWithoutExecution(
+  { starts, answers }: ExecutionTrace,
+): string[] {
   const ran = new Set(starts.map((start) => start.requestId));
   return answers
     .filter((answer) => answer.kind === "served" && !ran.has(answer.requestId))
--- a/src/load/history.ts
+++ b/src/load/history.ts
@@ -1,12 +1,16 @@
 /**
- * Histories of concurrent runs: one line of JSON for each request of a caller
- * (`call`) and for each piece of work that a backend server started (`run`).
+ * Recorded histories of concurrent requests: one line of JSON for each request
+ * that a caller sent (`call`) and each execution at a backend server (`run`).
  *
  * @module
  */
 import { readFileSync } from "node:fs";
 import * as z from "zod";
-import type { Evidence, FinalAnswer, WorkStart } from "./evidence.ts";
+import type {
+  ExecutionStart,
+  ExecutionTrace,
+  FinalAnswer,
+} from "./execution_trace.ts";
 
 /** Schema of {@linkcode Call}. */
 export const callSchema = z.object({
@@ -15,20 +19,21 @@
   service: z.string(),
   key: z.string().nullable(),
   method: z.string(),
-  /** Entry that it was sent to. */
+  /** Address of the entry process that it was sent to. */
   target: z.string(),
   /** Milliseconds since the epoch. */
   startedAt: z.number(),
   endedAt: z.number(),
-  /** Status of the answer; 0 when the connection failed. */
+  /** HTTP status of the answer; 0 when the connection failed. */
   status: z.number(),
-  /** What plumloft said of a request without an answer, or null. */
+  /** Whether a request without the server's answer may have run; null if it was
+   * answered. */
   outcome: z.enum(["not-run", "unknown"]).nullable(),
-  /** Whether the answer was whole and the caller's own; null without one. */
+  /** Whether the answer was complete and for this request; null if not checked. */
   matched: z.boolean().nullable(),
 });
 
-/** One request as its caller saw it. */
+/** One request, as recorded by its caller. */
 export type Call = z.infer<typeof callSchema>;
 
 /** Schema of {@linkcode Run}. */
@@ -40,12 +45,13 @@
   service: z.string(),
   key: z.number().nullable(),
   token: z.number().nullable(),
-  /** Milliseconds since the epoch; 0 for work that has not ended. */
+  /** Milliseconds since the epoch. */
   startedAt: z.number(),
+  /** Milliseconds since the epoch; 0 while it has not ended. */
   endedAt: z.number(),
 });
 
-/** One piece of work as its backend server saw it. */
+/** One execution of a request, as recorded by its backend server. */
 export type Run = z.infer<typeof runSchema>;
 
 /** Schema of a line of a history. */
@@ -57,18 +63,18 @@
 /** See {@linkcode historyLineSchema}. */
 export type HistoryLine = z.infer<typeof historyLineSchema>;
 
-/** A whole history. */
+/** All lines of a history, by kind. */
 export interface History {
   calls: Call[];
   runs: Run[];
 }
 
-/** Whether the caller got the backend server's answer. */
+/** Whether the caller received the backend server's answer. */
 export function isServed({ status }: Call): boolean {
   return status >= 200 && status < 300;
 }
 
-/** Reads a history from a file of JSON lines. */
+/** Reads a history from a file of JSON lines; throws on an invalid line. */
 export function readHistory(file: string): History {
   const lines = readFileSync(file, "utf8").split("\n")
     .filter((line) => line !== "")
@@ -79,9 +85,9 @@
   };
 }
 
-/** A history as evidence for the checks. */
-export function toEvidence({ calls, runs }: History): Evidence {
-  const starts = runs.map((run): WorkStart => ({
+/** Converts a history to a trace for the checks. */
+export function toExecutionTrace({ calls, runs }: History): ExecutionTrace {
+  const starts = runs.map((run): ExecutionStart => ({
     at: run.startedAt,
     server: run.server,
     service: run.service,
@@ -100,7 +106,7 @@
   return { starts, answers };
 }
 
-/** Answers that were cut short or another caller's. */
+/** Calls whose answer was incomplete or belonged to another request. */
 export function findMismatches({ calls }: History): string[] {
   return calls.filter((call) => call.matched === false)
     .map(({ requestId, target }) => `${requestId} at ${target}`);
@@ -108,8 +114,8 @@
 
 /**
  * The longest time, in milliseconds, between two served answers for the same
- * key, with the key. Keys are asked for all the time, so this bounds the time in
- * which one was unavailable.
+ * key, and that key. Requests for each key are sent continuously, so this bounds
+ * the time for which a key was unavailable.
  */
 export function longestGap({ calls }: History): { key: string; gap: number } {
   const last = new Map<string, number>();
--- a/src/load/history_check.ts
+++ b/src/load/history_check.ts
@@ -1,45 +1,46 @@
 /**
- * Checks a history for breaches of what must always hold.
+ * Checks a recorded history for breaches of the system's invariants.
  *
  * @module
  */
 import {
-  findFalseRefusals,
-  findInventedAnswers,
+  findAnswersWithoutExecution,
+  findExecutedRefusals,
+  findOwnershipBreaches,
   findRepeatedAnswers,
-  findRepeatedRuns,
-  findSecondOwners,
-} from "./evidence.ts";
-import { findMismatches, type History, toEvidence } from "./history.ts";
+  findRepeatedExecutions,
+} from "./execution_trace.ts";
+import { findMismatches, type History, toExecutionTrace } from "./history.ts";
 
-/** What a check found. */
+/** Result of the check of one invariant. */
 export interface CheckResult {
+  /** Name of the invariant. */
   name: string;
-  /** A line for each breach. */
+  /** A description of each breach. */
   breaches: string[];
 }
 
 /**
- * Runs all checks, those on work only when the history holds any: what callers
- * alone have recorded says nothing of it. Work may repeat only when its method is idempotent, so only
- * `POST` counts for "at most once".
+ * Runs all checks. Those on executions are left out if the history has none, since
+ * callers' records alone don't contain them. Idempotent methods may be executed
+ * again, so only `POST` counts for "at most once".
  */
 export function checkHistory(history: History): CheckResult[] {
-  const evidence = toEvidence(history);
-  const once = toEvidence({
+  const trace = toExecutionTrace(history);
+  const nonIdempotent = toExecutionTrace({
     ...history,
     runs: history.runs.filter((run) => run.method === "POST"),
   });
   const results = [
     { name: "answers match", breaches: findMismatches(history) },
-    { name: "one answer each", breaches: findRepeatedAnswers(evidence) },
+    { name: "one answer each", breaches: findRepeatedAnswers(trace) },
   ];
   if (history.runs.length === 0) return results;
   return [
     ...results,
-    { name: "one owner", breaches: findSecondOwners(evidence) },
-    { name: "at most once", breaches: findRepeatedRuns(once) },
-    { name: "not-run is true", breaches: findFalseRefusals(evidence) },
-    { name: "served work ran", breaches: findInventedAnswers(evidence) },
+    { name: "one owner", breaches: findOwnershipBreaches(trace) },
+    { name: "at most once", breaches: findRepeatedExecutions(nonIdempotent) },
+    { name: "not-run is true", breaches: findExecutedRefusals(trace) },
+    { name: "served work ran", breaches: findAnswersWithoutExecution(trace) },
   ];
 }
--- a/src/load/history_test.ts
+++ b/src/load/history_test.ts
@@ -2,7 +2,7 @@
 import { checkHistory } from "./history_check.ts";
 import { type Call, isServed, longestGap, type Run } from "./history.ts";
 
-function call(requestId: string, change: Partial<Call> = {}): Call {
+function createCall(requestId: string, change: Partial<Call> = {}): Call {
   return {
     kind: "call",
     requestId,
@@ -19,7 +19,7 @@
   };
 }
 
-function run(requestId: string, change: Partial<Run> = {}): Run {
+function createRun(requestId: string, change: Partial<Run> = {}): Run {
   return {
     kind: "run",
     server: "stock-1",
@@ -34,46 +34,51 @@
   };
 }
 
-test("isServed: only an answer of 2xx is served", (t) => {
+test("isServed: only a 2xx status counts as served", (t) => {
   const statuses = [200, 299, 0, 404, 503];
   t.snapshot(
-    statuses.map((status) => [status, isServed(call("a", { status }))]),
+    statuses.map((status) => [status, isServed(createCall("a", { status }))]),
   );
 });
 
 test("longestGap: the time between two served answers for one key", (t) => {
   const calls = [
-    call("a", { endedAt: 10 }),
-    call("b", { endedAt: 40, key: "other" }),
-    call("c", { endedAt: 200, status: 503 }),
-    call("d", { endedAt: 310 }),
+    createCall("a", { endedAt: 10 }),
+    createCall("b", { endedAt: 40, key: "other" }),
+    createCall("c", { endedAt: 200, status: 503 }),
+    createCall("d", { endedAt: 310 }),
   ];
   t.snapshot(longestGap({ calls, runs: [] }));
 });
 
-test("checkHistory: a sound history has no breaches", (t) => {
-  t.snapshot(checkHistory({ calls: [call("a")], runs: [run("a")] }));
+test("checkHistory: a valid history has no breaches", (t) => {
+  t.snapshot(
+    checkHistory({ calls: [createCall("a")], runs: [createRun("a")] }),
+  );
 });
 
-test("checkHistory: objects to each kind of breach", (t) => {
+test("checkHistory: reports each kind of breach", (t) => {
   const calls = [
-    call("crossed", { matched: false }),
-    call("not run", { status: 503, outcome: "not-run", matched: null }),
-    call("invented"),
-    call("twice"),
-    call("twice"),
+    createCall("crossed", { matched: false }),
+    createCall("not run", { status: 503, outcome: "not-run", matched: null }),
+    createCall("invented"),
+    createCall("twice"),
+    createCall("twice"),
   ];
   const runs = [
-    run("crossed", { token: 6, startedAt: 2, server: "stock-2" }),
-    run("not run", { startedAt: 3 }),
-    run("twice", { startedAt: 1 }),
-    run("twice", { startedAt: 1 }),
+    createRun("crossed", { token: 6, startedAt: 2, server: "stock-2" }),
+    createRun("not run", { startedAt: 3 }),
+    createRun("twice", { startedAt: 1 }),
+    createRun("twice", { startedAt: 1 }),
   ];
   t.snapshot(checkHistory({ calls, runs }));
 });
 
-test("checkHistory: idempotent work may run again", (t) => {
-  const runs = [run("a", { method: "PUT" }), run("a", { method: "PUT" })];
-  const calls = [call("a", { method: "PUT" })];
+test("checkHistory: an idempotent request may run more than once", (t) => {
+  const runs = [
+    createRun("a", { method: "PUT" }),
+    createRun("a", { method: "PUT" }),
+  ];
+  const calls = [createCall("a", { method: "PUT" })];
   t.snapshot(checkHistory({ calls, runs }));
 });
--- a/src/load/index.ts
+++ b/src/load/index.ts
@@ -1,4 +1,4 @@
-export * from "./caller_load.ts";
-export * from "./evidence.ts";
+export * from "./load_generator.ts";
+export * from "./execution_trace.ts";
 export * from "./history.ts";
 export * from "./history_check.ts";
--- a/src/load/caller_load.ts
+++ b/src/load/load_generator.ts
@@ -1,5 +1,5 @@
 /**
- * A bounded load of callers that records what each of them saw.
+ * Generates a bounded load of requests and records the outcome of each.
  *
  * @module
  */
@@ -10,48 +10,50 @@
 import { Latencies } from "../metrics/index.ts";
 import type { Call } from "./history.ts";
 
-/** Statuses that promise that a request has not run and never will. */
+/** Statuses that guarantee that no server has run the request or will run it. */
 const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
 
-/** What callers do. */
+/** Parameters of a load. */
 export interface LoadPlan {
-  /** Entries as `host:port`; each caller keeps to one while it is ready. */
+  /** Entry processes as `host:port`; each caller uses the same one while it is
+   * ready. */
   targets: string[];
   service: string;
-  /** How callers' headers are written. */
+  /** Encodes the callers' headers. */
   codec: HeaderCodec;
   host: string;
   path: string;
-  /** Milliseconds for which a caller waits. */
+  /** Time that a caller allows for an answer, in milliseconds. */
   timeout: number;
-  /** Number of different keys; 0 for requests without one. */
+  /** Number of distinct keys; 0 for requests without a key. */
   keys: number;
   method: "GET" | "POST" | "PUT";
-  /** Bytes of each body. */
+  /** Size of the random part of each body, in bytes. */
   bodySize: number;
-  /** Requests at the most. */
+  /** Maximum number of requests. */
   requests: number;
-  /** Seconds at the most. */
+  /** Maximum duration, in seconds. */
   seconds: number;
-  /** Callers, each with one request at a time. */
+  /** Number of concurrent callers; each sends one request at a time. */
   callers: number;
-  /** Milliseconds between two requests of one caller. */
+  /** Pause between two requests of one caller, in milliseconds. */
   pause: number;
-  /** Whether the balancer sends callers to a target now; all if absent. */
+  /** Whether the load balancer sends callers to a target now; always if absent. */
   isReady?: (target: string) => boolean;
 }
 
-/** What came of a load. */
+/** Outcomes of a load. */
 export interface LoadResult {
   calls: Call[];
   latencies: Latencies;
+  /** Duration of the load. */
   seconds: number;
 }
 
-/** Runs a load to its end. */
+/** Runs a load and calls `onCall` after each request. */
 export async function runLoad(
   plan: LoadPlan,
-  observe: (call: Call) => void = () => {},
+  onCall: (call: Call) => void = () => {},
 ): Promise<LoadResult> {
   const pools = plan.targets.map((target) => ({
     target,
@@ -61,28 +63,28 @@
   const latencies = Latencies.create();
   const start = performance.now();
   const end = start + plan.seconds * 1_000;
-  let next = 0;
-  const act = async (caller: number) => {
-    while (next < plan.requests && performance.now() < end) {
-      const number = next++;
-      const usable = pools.filter((each) =>
+  let nextNumber = 0;
+  const runCaller = async (caller: number) => {
+    while (nextNumber < plan.requests && performance.now() < end) {
+      const number = nextNumber++;
+      const readyTargets = pools.filter((each) =>
         plan.isReady?.(each.target) ?? true
       );
-      if (usable.length === 0) return;
-      const own = pools[caller % pools.length];
-      const { target, pool } = usable.includes(own)
-        ? own
-        : usable[caller % usable.length];
-      const begun = performance.now();
+      if (readyTargets.length === 0) return;
+      const preferred = pools[caller % pools.length];
+      const { target, pool } = readyTargets.includes(preferred)
+        ? preferred
+        : readyTargets[caller % readyTargets.length];
+      const sentAt = performance.now();
       const call = await sendOne(plan, target, pool, number);
-      latencies.record(performance.now() - begun);
+      latencies.record(performance.now() - sentAt);
       calls.push(call);
-      observe(call);
+      onCall(call);
       if (plan.pause > 0) await pause(plan.pause);
     }
   };
   await Promise.all(
-    Array.from({ length: plan.callers }, (_, caller) => act(caller)),
+    Array.from({ length: plan.callers }, (_, caller) => runCaller(caller)),
   );
   await Promise.all(pools.map(({ pool }) => pool.destroy()));
   return { calls, latencies, seconds: (performance.now() - start) / 1_000 };
@@ -99,9 +101,9 @@
   number: number,
 ): Promise<Call> {
   const requestId = randomUUID();
-  const key = plan.keys === 0 ? null : spread(number, plan.keys);
+  const key = plan.keys === 0 ? null : spreadKey(number, plan.keys);
   const hasBody = plan.method !== "GET";
-  const body = hasBody ? `${requestId}:${filler(plan.bodySize)}` : null;
+  const body = hasBody ? `${requestId}:${randomText(plan.bodySize)}` : null;
   const { timeout } = plan;
   const headers = {
     host: plan.host,
@@ -129,7 +131,7 @@
     });
     const text = await answer.body.text();
     call.status = answer.statusCode;
-    if (answer.statusCode !== 200) call.outcome = outcomeOf(answer.statusCode);
+    if (answer.statusCode !== 200) call.outcome = toOutcome(answer.statusCode);
     if (answer.statusCode === 200 && hasBody) call.matched = text === body;
   } catch {
     call.outcome = "unknown";
@@ -138,16 +140,16 @@
   return call;
 }
 
-function filler(size: number): string {
+function randomText(size: number): string {
   return randomBytes(Math.ceil(size / 2)).toString("hex").slice(0, size);
 }
 
-/** What a status promises: these say that the request has not run. */
-function outcomeOf(status: number): Call["outcome"] {
+/** Whether a status guarantees that the request has not run. */
+function toOutcome(status: number): Call["outcome"] {
   return NOT_RUN_STATUSES.has(status) ? "not-run" : "unknown";
 }
 
-/** Spreads numbered keys evenly over all keys. */
-function spread(number: number, keys: number): number {
+/** The key of a request; `keys` distinct keys are spread evenly over all keys. */
+function spreadKey(number: number, keys: number): number {
   return Math.floor((number % keys) * KEY_COUNT / keys);
 }
