--- a/bench/control.ts
+++ b/bench/idle_cost.ts
@@ -1,43 +1,43 @@
 /**
- * What idle entry processes cost: processor time, memory and calls to the store.
+ * Processor time and memory of idle entry processes.
  *
  * @module
  */
 import { setTimeout as delay } from "node:timers/promises";
 import { request } from "undici";
 import { Deployment, type Member } from "../test/support/deployment.ts";
-import { printFigure } from "./figure.ts";
+import { printMeasurement } from "./figure.ts";
 
 const ENTRIES = 4;
 const SERVERS = 4;
-/** Time in which the start settles, in milliseconds. */
-const SETTLE = 4_000;
-/** Time that is measured, in milliseconds. */
-const SPAN = 20_000;
+/** Time after the start that is not measured, in milliseconds. */
+const SETTLING_TIME = 4_000;
+/** Duration of the measurement, in milliseconds. */
+const MEASURED_TIME = 20_000;
 
-/** Measures idle processes. */
-export async function measureControl(): Promise<void> {
+/** Measures each entry process of an idle deployment. */
+export async function measureIdleCost(): Promise<void> {
   const deployment = await Deployment.start({
     entries: ENTRIES,
     servers: SERVERS,
   });
   try {
-    await delay(SETTLE);
+    await delay(SETTLING_TIME);
     const holder = await deployment.holder();
     const before = await Promise.all(deployment.entries.map(readGauges));
-    await delay(SPAN);
+    await delay(MEASURED_TIME);
     const after = await Promise.all(deployment.entries.map(readGauges));
     for (const [index, entry] of deployment.entries.entries()) {
       const role = entry === holder ? "term holder" : "follower";
       const conditions = { role, entries: ENTRIES, servers: 2 * SERVERS };
-      const used = after[index].processor - before[index].processor;
-      printFigure({
+      const processorSeconds = after[index].processor - before[index].processor;
+      printMeasurement({
         name: "idle processor",
-        value: 100 * used * 1_000 / SPAN,
+        value: 100 * processorSeconds * 1_000 / MEASURED_TIME,
         unit: "% of a core",
         conditions,
       });
-      printFigure({
+      printMeasurement({
         name: "idle memory",
         value: after[index].memory / 1e6,
         unit: "MB resident",
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,13 +1,14 @@
 /**
- * Benchmarks: `--control`, `--slopes`, `--overhead`, `--quarantine`; all without an option.
+ * Runs the benchmarks that the options `--control`, `--slopes`, `--overhead` and
+ * `--quarantine` select, or all of them without an option.
  *
  * @module
  */
 import { parseArgs } from "node:util";
-import { measureControl } from "./control.ts";
+import { measureIdleCost } from "./idle_cost.ts";
 import { measureOverhead } from "./overhead.ts";
 import { measureQuarantine } from "./quarantine.ts";
-import { measureSlopes } from "./slopes.ts";
+import { measureScaling } from "./scaling.ts";
 
 const { values } = parseArgs({
   options: {
@@ -17,8 +18,8 @@
     quarantine: { type: "boolean" },
   },
 });
-const isAll = Object.keys(values).length === 0;
-if (isAll || values.slopes) measureSlopes();
-if (isAll || values.quarantine) measureQuarantine();
-if (isAll || values.control) await measureControl();
-if (isAll || values.overhead) await measureOverhead();
+const runsAll = Object.keys(values).length === 0;
+if (runsAll || values.slopes) measureScaling();
+if (runsAll || values.quarantine) measureQuarantine();
+if (runsAll || values.control) await measureIdleCost();
+if (runsAll || values.overhead) await measureOverhead();
--- a/bench/quarantine.ts
+++ b/bench/quarantine.ts
@@ -1,25 +1,27 @@
 /**
- * How long VMs take to agree on holding a request back, and what they tell each other
- * for it, by the model.
+ * How long it takes until all VMs quarantine a request that crashes backend
+ * servers, and how much peer traffic that causes. Measured in the simulation.
  *
  * @module
  */
 import { encodeFrame } from "../src/runtime/frame.ts";
 import { World } from "../test/ownership/world.ts";
-import { printFigure } from "./figure.ts";
+import { printMeasurement } from "./figure.ts";
 
-const SIZES = [11, 74, 195, 820];
-/** VMs that are fit to hold the term. */
-const FIT_VMS = 8;
+const VM_COUNTS = [11, 74, 195, 820];
+/** Number of VMs with the highest fitness, which are preferred as term holder. */
+const FITTEST_VMS = 8;
 const SERVERS = 24;
-/** When the first of these requests comes, and the pause between them, in ms. */
-const FROM = 9_000;
-const PAUSE = 1_500;
+/** When the first request that crashes servers arrives, and the time between two
+ * of them, in milliseconds. */
+const FIRST_REQUEST = 9_000;
+const REQUEST_INTERVAL = 1_500;
+/** Simulated time, in milliseconds. */
 const DURATION = 18_000;
 
-/** Measures deployments of several sizes. */
+/** Simulates deployments of several sizes. */
 export function measureQuarantine(): void {
-  for (const vms of SIZES) measure(vms);
+  for (const vms of VM_COUNTS) measure(vms);
 }
 
 function measure(vms: number): void {
@@ -29,7 +31,7 @@
     faults: [],
     duration: DURATION,
     seed: 1,
-    fitness: Array.from({ length: vms }, (_, i) => i < FIT_VMS ? 5 : 1),
+    fitness: Array.from({ length: vms }, (_, i) => i < FITTEST_VMS ? 5 : 1),
     load: {
       isKeyed: false,
       from: 8_000,
@@ -42,22 +44,28 @@
       target: 800,
       timeout: 3_000,
       keyOf: (draw) => Math.floor(draw() * 65_536),
-      ending: { from: FROM, until: DURATION, pause: PAUSE, key: 1, work: 60 },
+      ending: {
+        from: FIRST_REQUEST,
+        until: DURATION,
+        pause: REQUEST_INTERVAL,
+        key: 1,
+        work: 60,
+      },
     },
   });
   const { serverEnds, heldBackAt, quarantineMessages, load } = report;
   const conditions = { vms };
-  const last = Math.max(...heldBackAt.values());
+  const lastQuarantined = Math.max(...heldBackAt.values());
   const print = (name: string, value: number, unit: string) =>
-    printFigure({ name: `held back: ${name}`, value, unit, conditions });
+    printMeasurement({ name: `held back: ${name}`, value, unit, conditions });
   print("VMs that hold it", heldBackAt.size, "VMs");
-  print("last VM after the third end", last - serverEnds[2], "ms");
+  print("last VM after the third end", lastQuarantined - serverEnds[2], "ms");
   print("runs in all", load!.endingRuns.length, "runs");
   print("messages that tell of it", quarantineMessages.length, "messages");
   const bytes = quarantineMessages.map(({ kind, quarantine }) => {
     const part = { kind, quarantine };
     return encodeFrame(part).length;
   });
-  const sum = bytes.reduce((all, each) => all + each, 0);
-  print("what they tell", sum, "bytes");
+  const totalBytes = bytes.reduce((all, each) => all + each, 0);
+  print("what they tell", totalBytes, "bytes");
 }
--- a/bench/slopes.ts
+++ b/bench/scaling.ts
@@ -1,6 +1,6 @@
 /**
- * How the core's costs grow with servers and with ranges of keys, without
- * sockets.
+ * How the costs of the core grow with the numbers of servers, key ranges and
+ * routes and with the body size. Measured in one process, without sockets.
  *
  * @module
  */
@@ -20,32 +20,32 @@
 import { backendServer } from "../test/support/backend_server.ts";
 import { largeConfiguration } from "../test/support/large_configuration.ts";
 import { createSteppedEntry } from "../test/support/stepped_entry.ts";
-import { printFigure } from "./figure.ts";
+import { printMeasurement } from "./figure.ts";
 
-const SERVICE_SIZES = [10, 100, 800];
+const SERVER_COUNTS = [10, 100, 800];
 const REQUESTS = 20_000;
-/** Bodies whose fingerprints are measured, in bytes. */
+/** Sizes of the request bodies whose fingerprints are measured, in bytes. */
 const BODY_SIZES = [0, 4_000, 1_000_000];
-/** Runs of a step before it is measured, and while it is. */
-const WARM_UP = 5;
-const REPEATS = 20;
+/** Number of runs of a step before the measurement and during it. */
+const WARM_UP_RUNS = 5;
+const MEASURED_RUNS = 20;
 
-/** Measures the cost of a request for services of several sizes. */
-export function measureSlopes(): void {
-  for (const servers of SERVICE_SIZES) {
+/** Measures requests, fingerprints, assignments and configurations of several sizes. */
+export function measureScaling(): void {
+  for (const servers of SERVER_COUNTS) {
     measureRequests(servers, false);
     measureRequests(servers, true);
   }
-  for (const accused of [1, 1_000]) {
-    measureRequests(SERVICE_SIZES[0], false, accused);
+  for (const crashRecords of [1, 1_000]) {
+    measureRequests(SERVER_COUNTS[0], false, crashRecords);
   }
   for (const size of BODY_SIZES) measureFingerprint(size);
-  for (const ranges of [10, 100, 1_000, 5_000]) measureBulletin(ranges);
+  for (const ranges of [10, 100, 1_000, 5_000]) measureAssignments(ranges);
   for (const routes of [100, 2_100, 5_000]) measureConfiguration(routes);
 }
 
-/** What a configuration costs its reader from the store, and the term holder and
- * each follower that is told it. */
+/** Size of a configuration in the store and on the way to a follower, and the time
+ * that it takes to read, encode, decode and apply it. */
 function measureConfiguration(routes: number): void {
   const configuration = largeConfiguration(7, routes);
   const document = encodeConfiguration(configuration);
@@ -64,7 +64,12 @@
   };
   for (const [form, value] of Object.entries(bytes)) {
     const conditions = { form, routes };
-    printFigure({ name: "configuration", value, unit: "bytes", conditions });
+    printMeasurement({
+      name: "configuration",
+      value,
+      unit: "bytes",
+      conditions,
+    });
   }
   const steps = {
     "read of the document": () => decodeConfiguration(document),
@@ -77,33 +82,33 @@
   };
   for (const [step, run] of Object.entries(steps)) {
     const conditions = { step, routes };
-    const value = millisecondsOf(run);
-    printFigure({ name: "configuration", value, unit: "ms", conditions });
+    const value = meanMilliseconds(run);
+    printMeasurement({ name: "configuration", value, unit: "ms", conditions });
   }
 }
 
-/** Mean time of a step in a process that is warmed up. */
-function millisecondsOf(run: () => unknown): number {
-  for (let i = 0; i < WARM_UP; i++) run();
-  const begun = performance.now();
-  for (let i = 0; i < REPEATS; i++) run();
-  return (performance.now() - begun) / REPEATS;
+/** Mean time of a step after warm-up runs, in milliseconds. */
+function meanMilliseconds(run: () => unknown): number {
+  for (let i = 0; i < WARM_UP_RUNS; i++) run();
+  const startedAt = performance.now();
+  for (let i = 0; i < MEASURED_RUNS; i++) run();
+  return (performance.now() - startedAt) / MEASURED_RUNS;
 }
 
-/** `accused` requests are remembered, since servers have ended under them. */
+/** Time to dispatch a request while `crashRecords` requests have a crash record. */
 function measureRequests(
   servers: number,
   isKeyed: boolean,
-  accused = 0,
+  crashRecords = 0,
 ): void {
   const { entry, step } = createEntry(servers, isKeyed);
-  for (let i = 0; i < accused; i++) {
+  for (let i = 0; i < crashRecords; i++) {
     const { whole } = fingerprintOf(`/accused/${i}`);
     entry.beliefs.quarantine.accuse(whole, "h/accused", "server#1", 1_000);
   }
   let now = 1_000;
   const run = (count: number) => {
-    const begun = performance.now();
+    const startedAt = performance.now();
     for (let exchange = 1; exchange <= count; exchange++) {
       now += 1;
       const effects = step(now, {
@@ -134,23 +139,23 @@
         });
       }
     }
-    return 1_000 * (performance.now() - begun) / count;
+    return 1_000 * (performance.now() - startedAt) / count;
   };
   run(REQUESTS / 4);
-  printFigure({
+  printMeasurement({
     name: "core time for a request",
     value: run(REQUESTS),
     unit: "us",
     conditions: {
       servers,
       keyed: String(isKeyed),
-      accused,
+      accused: crashRecords,
       pending: entry.dispatcher.pending,
     },
   });
 }
 
-/** What it costs to tell a request from others, with its body and without. */
+/** Time to compute a request's fingerprint, without its body and with it. */
 function measureFingerprint(size: number): void {
   const body = Buffer.alloc(size, "x");
   const parts = { method: "POST", host: "h.example" };
@@ -165,15 +170,16 @@
   };
   for (const [part, run] of Object.entries(steps)) {
     for (let i = 0; i < REQUESTS / 20; i++) run();
-    const begun = performance.now();
+    const startedAt = performance.now();
     for (let i = 0; i < REQUESTS / 20; i++) run();
-    const value = 20_000 * (performance.now() - begun) / REQUESTS;
+    const value = 20_000 * (performance.now() - startedAt) / REQUESTS;
     const conditions = { part, body: size };
-    printFigure({ name: "fingerprint", value, unit: "us", conditions });
+    printMeasurement({ name: "fingerprint", value, unit: "us", conditions });
   }
 }
 
-function measureBulletin(ranges: number): void {
+/** Size of the message that sends changed assignments to another VM. */
+function measureAssignments(ranges: number): void {
   const message = {
     kind: "assignments.told",
     term: 1,
@@ -192,7 +198,7 @@
       ),
     }],
   };
-  printFigure({
+  printMeasurement({
     name: "size of a change of assignments",
     value: encodeFrame(message).length,
     unit: "bytes to each VM",
--- a/tools/build.ts
+++ b/tools/build.ts
@@ -1,6 +1,6 @@
 /**
- * Builds `dist/plumloft`, one executable that needs nothing beside it: the
- * bundle inside a copy of Node (a single executable application).
+ * Builds `dist/plumloft`, a self-contained executable: the bundle injected into a
+ * copy of the Node.js binary (a single executable application, SEA).
  *
  * @module
  */
@@ -19,23 +19,27 @@
 const FOLDER = "dist";
 const BUNDLE = `${FOLDER}/plumloft.cjs`;
 const BLOB = `${FOLDER}/plumloft.blob`;
-const CONFIGURATION = `${FOLDER}/sea.json`;
+const SEA_CONFIGURATION = `${FOLDER}/sea.json`;
 const EXECUTABLE = `${FOLDER}/plumloft`;
-/** Marks the place in Node's executable, as its manual gives it. */
+/** Sentinel that marks the injection point in the Node.js binary, as given in the
+ * Node.js documentation of single executable applications. */
 const FUSE = "NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2";
 
 async function buildExecutable(): Promise<void> {
   mkdirSync(FOLDER, { recursive: true });
   await bundle(BUNDLE);
   writeFileSync(
-    CONFIGURATION,
+    SEA_CONFIGURATION,
     JSON.stringify({
       main: BUNDLE,
       output: BLOB,
       disableExperimentalSEAWarning: true,
     }),
   );
-  execFileSync(process.execPath, ["--experimental-sea-config", CONFIGURATION]);
+  execFileSync(process.execPath, [
+    "--experimental-sea-config",
+    SEA_CONFIGURATION,
+  ]);
   rmSync(EXECUTABLE, { force: true });
   copyFileSync(process.execPath, EXECUTABLE);
   chmodSync(EXECUTABLE, 0o755);
--- a/tools/build_bundle.ts
+++ b/tools/build_bundle.ts
@@ -1,7 +1,8 @@
 /**
- * Builds the program as files in the folder that the argument names: a launcher,
- * the bundle, and the code that V8 makes of it. Further arguments are the flags
- * of Node under which the program will run, since code holds for those only.
+ * Builds the program as files in the folder given by the first argument: a
+ * launcher, the bundle, and the V8 code cache of the bundle. Further arguments are
+ * the Node.js flags under which the program will run, since V8 accepts a code cache
+ * only under the flags that it was made with.
  *
  * @module
  */
@@ -12,8 +13,14 @@
 async function buildFolder(folder: string, flags: string[]): Promise<void> {
   await bundle(join(folder, "program.cjs"));
   await bundleLauncher(join(folder, "plumloft.cjs"));
-  const warmUp = ["--import=tsx", "tools/make_code.ts", folder];
-  execFileSync(process.execPath, [...flags, ...warmUp], { stdio: "inherit" });
+  const generateCodeCache = [
+    "--import=tsx",
+    "tools/generate_code_cache.ts",
+    folder,
+  ];
+  execFileSync(process.execPath, [...flags, ...generateCodeCache], {
+    stdio: "inherit",
+  });
 }
 
 const [folder, ...flags] = process.argv.slice(2);
--- a/tools/bundle.ts
+++ b/tools/bundle.ts
@@ -5,7 +5,9 @@
  */
 import { build, type BuildOptions, type Plugin } from "esbuild";
 
-/** Inside the executable, Node's own `require` warns of what libraries look up. */
+/** Inside the executable, the built-in `require` prints warnings for the modules
+ * that libraries resolve, so the banner replaces it. `bundleUrl` replaces
+ * `import.meta.url`, which CommonJS doesn't have. */
 const BANNER = `
 require = require("node:module").createRequire(__filename);
 const bundleUrl = require("node:url").pathToFileURL(__filename).href;
@@ -16,8 +18,8 @@
   platform: "node",
   target: "node20",
   format: "cjs",
-  // The text of the program stays in memory, in two bytes for each character
-  // if one of them needs it; comments of libraries are most of those.
+  // V8 keeps the source in memory, with two bytes per character if it contains any
+  // character beyond Latin-1. Most of those are in the comments of libraries.
   minifyWhitespace: true,
   minifySyntax: true,
   legalComments: "none",
@@ -25,7 +27,7 @@
   logLevel: "error",
 };
 
-/** Writes the bundle of `src/main.ts` to `file`; `plugins` may change sources. */
+/** Bundles `src/main.ts` into `file`; `plugins` may transform sources. */
 export async function bundle(
   file: string,
   plugins: Plugin[] = [],
@@ -35,13 +37,13 @@
     plugins,
     entryPoints: ["src/main.ts"],
     outfile: file,
-    // CommonJS has no import.meta; yargs asks for its URL.
+    // CommonJS has no import.meta, but yargs reads its URL.
     define: { "import.meta.url": "bundleUrl" },
     banner: { js: BANNER },
   });
 }
 
-/** Writes the bundle of the launcher to `file`. */
+/** Bundles the launcher into `file`. */
 export async function bundleLauncher(file: string): Promise<void> {
   await build({
     ...OPTIONS,
--- a/tools/make_code.ts
+++ b/tools/generate_code_cache.ts
@@ -1,6 +1,7 @@
 /**
- * Starts and stops an entry process on free loopback ports, then writes the code
- * of all that ran, beside the bundle in the folder that the argument names.
+ * Starts and stops an entry process on free loopback ports, then writes the V8
+ * code cache of all functions that ran. The cache is stored beside the bundle, in
+ * the folder given by the argument.
  *
  * @module
  */
@@ -10,12 +11,12 @@
 import { stringify } from "yaml";
 import { CompiledProgram } from "../src/launcher/compiled_program.ts";
 
-/** Time for the process to start, in milliseconds; what has not run by then is
- * compiled when it is needed, as without the code. */
-const WARM_UP = 500;
+/** Time for the process to start, in milliseconds. Functions that have not run by
+ * then are not in the cache and are compiled on first use. */
+const START_DURATION = 500;
 const ANY_PORT = "127.0.0.1:0";
-/** Nothing listens there, so the process finds no store. */
-const NO_STORE = "127.0.0.1:1";
+/** Nothing listens at this address, so the process can't connect to a store. */
+const UNUSED_ADDRESS = "127.0.0.1:1";
 
 const SETTINGS = {
   vm: "warm-up",
@@ -24,12 +25,12 @@
   readiness: ANY_PORT,
   peer: ANY_PORT,
   admin: ANY_PORT,
-  store: { address: NO_STORE, partitions: 1 },
+  store: { address: UNUSED_ADDRESS, partitions: 1 },
   shutdownTimeoutSeconds: 1,
   logging: { level: "error" },
 };
 
-function makeCode(folder: string): void {
+function generateCodeCache(folder: string): void {
   const scratch = mkdtempSync(join(tmpdir(), "plumloft-code-"));
   const settings = join(scratch, "settings.yaml");
   writeFileSync(settings, stringify(SETTINGS));
@@ -39,8 +40,8 @@
     program.writeCode();
     rmSync(scratch, { recursive: true });
   });
-  setTimeout(() => process.kill(process.pid, "SIGTERM"), WARM_UP);
+  setTimeout(() => process.kill(process.pid, "SIGTERM"), START_DURATION);
   program.run();
 }
 
-makeCode(resolve(process.argv[2]));
+generateCodeCache(resolve(process.argv[2]));
--- a/tools/postject.d.ts
+++ b/tools/postject.d.ts
@@ -1,4 +1,4 @@
-/** What this project uses of postject, which has no types of its own. */
+/** Declares the function of postject that is used here; the package has no types. */
 declare module "postject" {
   export function inject(
     file: string,
--- a/tools/vary_site.ts
+++ b/tools/vary_site.ts
@@ -1,12 +1,12 @@
 /**
- * Makes a site file of a deployment that nobody has tuned for out of an
- * existing one: fewer or more VMs, one availability zone, one server of a
- * service a zone, other keyed services, shorter or longer work.
+ * Generates a variant of a site file, to test deployments that the software was
+ * not tuned for: with fewer or more VMs, availability zones and servers, other
+ * keyed services, and shorter or longer processing times.
  *
  *     node --import=tsx tools/vary_site.ts SITE_FILE --seed 3 --out FOLDER
  *
- * The file is treated as lines of text, so that everything that is not varied
- * stays as it is; `wire.json` beside it is copied as well.
+ * The file is edited as lines of text, so that everything else stays unchanged.
+ * The file `wire.json` beside it is copied as well.
  *
  * @module
  */
@@ -16,50 +16,52 @@
 import { hideBin } from "yargs/helpers";
 import { uniformFloat64 } from "../src/core/random.ts";
 
-/** What a variant changes. */
+/** Parameters of a variant. */
 export interface SiteVariant {
-  /** Zones that are left; those beyond take the names of these in turn. */
+  /** Number of availability zones to keep; the others are merged into them in
+   * turn. */
   zones: number;
-  /** Factors of the numbers of VMs and of servers; at least one is left. */
+  /** Factor for the number of VMs; at least one is kept. */
   vms: number;
+  /** Factor for the number of servers; at least one is kept. */
   servers: number;
-  /** Factor of the work's, target and deadline times. */
+  /** Factor for processing times, target latencies and deadlines. */
   times: number;
-  /** Which services are divided by key. */
+  /** Which services are partitioned by key. */
   keyed: "as before" | "none" | "all";
 }
 
-/** Numbers that are left out at the start of a seed. */
-const SKIPPED_DRAWS = 8;
-const ZONES = [1, 2, 4] as const;
-const SIZES = [0.3, 1, 2.5] as const;
-const TIMES = [0.4, 1, 4] as const;
-const KEYED = ["as before", "none", "all"] as const;
+/** Number of random values that are skipped after seeding. */
+const SKIPPED_VALUES = 8;
+const ZONE_COUNTS = [1, 2, 4] as const;
+const SIZE_FACTORS = [0.3, 1, 2.5] as const;
+const TIME_FACTORS = [0.4, 1, 4] as const;
+const KEYED_CHOICES = ["as before", "none", "all"] as const;
 
-/** The variant of a seed. */
+/** Derives a variant from a seed. */
 export function variantOf(seed: number): SiteVariant {
-  const draw = uniformFloat64(seed);
-  // Small seeds differ little in the first numbers.
-  for (let i = 0; i < SKIPPED_DRAWS; i++) draw();
+  const nextRandom = uniformFloat64(seed);
+  // Generators with similar small seeds produce similar first values.
+  for (let i = 0; i < SKIPPED_VALUES; i++) nextRandom();
   const pick = <T>(values: readonly T[]): T =>
-    values[Math.floor(draw() * values.length)];
+    values[Math.floor(nextRandom() * values.length)];
   return {
-    zones: pick(ZONES),
-    vms: pick(SIZES),
-    servers: pick(SIZES),
-    times: pick(TIMES),
-    keyed: pick(KEYED),
+    zones: pick(ZONE_COUNTS),
+    vms: pick(SIZE_FACTORS),
+    servers: pick(SIZE_FACTORS),
+    times: pick(TIME_FACTORS),
+    keyed: pick(KEYED_CHOICES),
   };
 }
 
 /** Applies a variant to the text of a site file. */
 export function varySite(site: string, variant: SiteVariant): string {
-  const lines = mergeZones(site, variant.zones).split("\n");
+  const lines = reduceZones(site, variant.zones).split("\n");
   return lines.map((line) => varyLine(line, variant)).join("\n");
 }
 
-/** Gives zones beyond the first `count` the names of these in turn. */
-function mergeZones(site: string, count: number): string {
+/** Keeps the first `count` zones and merges the others into them in turn. */
+function reduceZones(site: string, count: number): string {
   const list = /^zones = \[\n([^\]]*)\]/m.exec(site);
   if (list === null) return site;
   const entries = list[1].split("\n").filter((line) => line.trim() !== "");
