--- a/bench/quarantine.ts
+++ b/bench/quarantine.ts
@@ -66,6 +66,6 @@
     const part = { kind, quarantine };
     return encodeFrame(part).length;
   });
-  const totalBytes = bytes.reduce((all, each) => all + each, 0);
+  const totalBytes = bytes.reduce((total, size) => total + size, 0);
   print("what they tell", totalBytes, "bytes");
 }
--- a/bench/scaling.ts
+++ b/bench/scaling.ts
@@ -75,8 +75,8 @@
     "read of the document": () => decodeConfiguration(document),
     "frame made, once for all": () => encodeFrame(message, true),
     "frame read": () =>
-      FrameDecoder.create().push(frame).map((each) =>
-        peerMessageSchema.parse(each)
+      FrameDecoder.create().push(frame).map((decoded) =>
+        peerMessageSchema.parse(decoded)
       ),
     "put in force": () => Catalog.create().apply(configuration),
   };
--- a/src/cli/config_command.ts
+++ b/src/cli/config_command.ts
@@ -122,7 +122,7 @@
 
 async function publish({ folder, site, store }: SiteOptions): Promise<void> {
   const declaration = readDeclaration(folder);
-  const sites = declaration.overlays.map((each) => each.site);
+  const sites = declaration.overlays.map((overlay) => overlay.site);
   if (!sites.includes(site)) {
     throw InvalidInput.create([{
       file: folder,
--- a/src/cli/demo.ts
+++ b/src/cli/demo.ts
@@ -82,15 +82,15 @@
       settings.push(await entrySettings(i, store.address));
     }
     const processes: EntryProcess[] = [];
-    for (const [index, each] of settings.entries()) {
-      processes.push(await startEntry(each, index));
+    for (const [index, vmSettings] of settings.entries()) {
+      processes.push(await startEntry(vmSettings, index));
     }
     const demo = new Demo(
       store,
       servers,
       processes,
-      settings.map((each) => each.listen),
-      settings.map((each) => each.admin),
+      settings.map((vmSettings) => vmSettings.listen),
+      settings.map((vmSettings) => vmSettings.admin),
     );
     await demo.#waitUntilReady();
     return demo;
@@ -127,9 +127,9 @@
     { id: `archeio-${number}`, service: "archeio", keyed: false },
   ]);
   return Promise.all(
-    ids.map((each, index) =>
+    ids.map((identity, index) =>
       BackendService.start(backendServiceSchema.parse({
-        ...each,
+        ...identity,
         availabilityZone: ZONES[index % ZONES.length],
         listen: `${LOOPBACK}:0`,
         store,
--- a/src/cli/demo_command.ts
+++ b/src/cli/demo_command.ts
@@ -10,7 +10,6 @@
 import { Demo, DEMO_HOST } from "./demo.ts";
 import { EXIT_CODE } from "./exit_code.ts";
 
-/** Key of the demo's requests. */
 const REQUEST_KEY = 4_711;
 /** Time that the demo's callers wait for an answer, in milliseconds. */
 const CALLER_TIMEOUT = 2_000;
@@ -96,7 +95,7 @@
     "d-3",
     "list",
   );
-  const runs = demo.servers.flatMap((each) => each.runs);
+  const runs = demo.servers.flatMap((server) => server.runs);
   return runs.map((run) => `${run.requestId} ran on ${run.server}`);
 }
 
--- a/src/cli/load_command.ts
+++ b/src/cli/load_command.ts
@@ -95,9 +95,9 @@
     JSON.stringify({
       requests: calls.length,
       served: calls.filter(isServed).length,
-      notRun: calls.filter((each) => each.outcome === "not-run").length,
-      unknown: calls.filter((each) => each.outcome === "unknown").length,
-      mismatched: calls.filter((each) => each.matched === false).length,
+      notRun: calls.filter((call) => call.outcome === "not-run").length,
+      unknown: calls.filter((call) => call.outcome === "unknown").length,
+      mismatched: calls.filter((call) => call.matched === false).length,
       perSecond: calls.length / seconds,
       latency: latencies.summary(),
     })
--- a/src/cli/status_command.ts
+++ b/src/cli/status_command.ts
@@ -78,9 +78,9 @@
   for (const zone of status.evacuatedZones) {
     lines.push(`evacuated      ${zone}`);
   }
-  for (const each of status.assignments) {
+  for (const assignment of status.assignments) {
     lines.push(
-      `keys of ${each.service}: ${each.ranges} ranges, ${each.open} open, position ${each.term}.${each.version}`,
+      `keys of ${assignment.service}: ${assignment.ranges} ranges, ${assignment.open} open, position ${assignment.term}.${assignment.version}`,
     );
   }
   for (const { fingerprint, target, ends, left } of status.quarantine) {
--- a/src/load/execution_trace.ts
+++ b/src/load/execution_trace.ts
@@ -7,6 +7,7 @@
 
 /** The start of one execution of a request at a backend server. */
 export interface ExecutionStart {
+  /** When the execution started. */
   at: number;
   server: string;
   service: string;
@@ -21,8 +22,9 @@
 export interface FinalAnswer {
   /** Identifies the caller's attempt; attempts may share one request id. */
   call: string;
+  /** When the answer arrived. */
   at: number;
-  /** When the request arrived. */
+  /** When this call started. */
   arrivedAt: number;
   requestId: string;
   kind: "served" | "not-run" | "unknown";
@@ -96,13 +98,13 @@
 }
 
 function groupById<T extends { requestId: string }>(
-  all: readonly T[],
+  events: readonly T[],
 ): Map<string, T[]> {
   const groups = new Map<string, T[]>();
-  for (const each of all) {
-    const group = groups.get(each.requestId);
-    if (group === undefined) groups.set(each.requestId, [each]);
-    else group.push(each);
+  for (const event of events) {
+    const group = groups.get(event.requestId);
+    if (group === undefined) groups.set(event.requestId, [event]);
+    else group.push(event);
   }
   return groups;
 }
--- a/src/load/history.ts
+++ b/src/load/history.ts
@@ -26,8 +26,8 @@
   endedAt: z.number(),
   /** HTTP status of the answer; 0 when the connection failed. */
   status: z.number(),
-  /** Whether a request without the server's answer may have run; null if it was
-   * answered. */
+  /** `not-run` if the request certainly has not run, `unknown` if it may have; null
+   * for status 200. */
   outcome: z.enum(["not-run", "unknown"]).nullable(),
   /** Whether the answer was complete and for this request; null if not checked. */
   matched: z.boolean().nullable(),
--- a/src/load/load_generator.ts
+++ b/src/load/load_generator.ts
@@ -67,8 +67,8 @@
   const runCaller = async (caller: number) => {
     while (nextNumber < plan.requests && performance.now() < end) {
       const number = nextNumber++;
-      const readyTargets = pools.filter((each) =>
-        plan.isReady?.(each.target) ?? true
+      const readyTargets = pools.filter((candidate) =>
+        plan.isReady?.(candidate.target) ?? true
       );
       if (readyTargets.length === 0) return;
       const preferred = pools[caller % pools.length];
@@ -144,7 +144,7 @@
   return randomBytes(Math.ceil(size / 2)).toString("hex").slice(0, size);
 }
 
-/** Whether a status guarantees that the request has not run. */
+/** The outcome of a request that was answered with another status than 200. */
 function toOutcome(status: number): Call["outcome"] {
   return NOT_RUN_STATUSES.has(status) ? "not-run" : "unknown";
 }
--- a/tools/run_tests.ts
+++ b/tools/run_tests.ts
@@ -40,7 +40,7 @@
   }
   const code = await exited;
   const unexpected = failed.filter((title) =>
-    !knownFailures.some((each) => title.includes(each))
+    !knownFailures.some((knownTitle) => title.includes(knownTitle))
   );
   for (const title of failed.filter((each) => !unexpected.includes(each))) {
     process.stdout.write(`known to fail: ${title}\n`);
--- a/tools/vary_site.ts
+++ b/tools/vary_site.ts
@@ -65,8 +65,8 @@
   const list = /^zones = \[\n([^\]]*)\]/m.exec(site);
   if (list === null) return site;
   const entries = list[1].split("\n").filter((line) => line.trim() !== "");
-  const names = [...list[1].matchAll(/name = "([^"]+)"/g)].map((each) =>
-    each[1]
+  const names = [...list[1].matchAll(/name = "([^"]+)"/g)].map((match) =>
+    match[1]
   );
   const kept = `zones = [\n${entries.slice(0, count).join("\n")}\n]`;
   let text = site.replace(list[0], kept);
