--- a/src/core/beliefs.ts
+++ b/src/core/beliefs.ts
@@ -1,6 +1,6 @@
 /**
- * What a process believes of the system: configuration, servers, assignments
- * and who holds the term. Every change makes a line for the log.
+ * This VM's local copy of the cluster's state: configuration, servers, key
+ * assignments and the term holder. Every change is logged.
  *
  * @module
  */
@@ -20,10 +20,10 @@
 import { type Accusation, CrashWatch, Quarantine } from "./quarantine/index.ts";
 import { RegistryReplica } from "./registry/index.ts";
 
-/** Takes effects. */
+/** Queues effects for the runtime to carry out. */
 export type Emit = (...effects: EntryEffect[]) => void;
 
-/** Fields of a line for the log. */
+/** Fields of a log line. */
 type Detail = Record<string, string | number | boolean | null>;
 
 /** See the module's comment. */
@@ -43,7 +43,7 @@
   );
   readonly crashes = CrashWatch.create(
     this.quarantine,
-    (accusation) => this.#accused(accusation),
+    (accusation) => this.#reportAccusation(accusation),
   );
   #holder: HolderAddress | null = null;
 
@@ -52,8 +52,8 @@
     private readonly serverEnded: (accusation: Accusation) => void,
   ) {}
 
-  /** Knows nothing yet; passes effects to `emit`, and calls `serverEnded` for each
-   * request that was at work on a server when that ended. */
+  /** Creates an empty state that passes its effects to `emit`. `serverEnded` is called
+   * for each request that a server was running when the server ended. */
   static create(
     emit: Emit,
     serverEnded: (accusation: Accusation) => void = () => {},
@@ -61,12 +61,12 @@
     return new Beliefs(emit, serverEnded);
   }
 
-  /** The newest announced term holder, or null. */
+  /** The announced term holder with the highest term, or null. */
   get holder(): HolderAddress | null {
     return this.#holder;
   }
 
-  /** What other VMs are told that this one knows. */
+  /** Versions of the state that this VM has, as messages to other VMs carry them. */
   knowledge(position = this.directory.position): Knowledge {
     const { term, version } = position;
     const evacuation = this.fleet.evacuations.news;
@@ -78,7 +78,7 @@
     };
   }
 
-  /** Takes a configuration, if it is newer. */
+  /** Applies a configuration if its version is newer. */
   configure(configuration: Configuration): void {
     if (!this.catalog.apply(configuration)) return;
     this.note("configuration.applied", {
@@ -88,17 +88,17 @@
     this.emit({ kind: "limits.apply", limits: configuration.limits });
   }
 
-  /** Takes what the store tells of evacuated zones. */
-  evacuationsRead(read: EvacuationRead, now: number): void {
-    this.#evacuate(this.fleet.evacuations.read(read), now);
+  /** Applies evacuated zones that were read from the store. */
+  applyStoredEvacuations(read: EvacuationRead, now: number): void {
+    this.#applyEvacuation(this.fleet.evacuations.read(read), now);
   }
 
-  /** Takes what another VM tells of them. */
+  /** Applies evacuated zones that another VM has sent. */
   evacuationsTold(news: EvacuationNews, now: number): void {
-    this.#evacuate(this.fleet.evacuations.learn(news), now);
+    this.#applyEvacuation(this.fleet.evacuations.learn(news), now);
   }
 
-  #evacuate(change: EvacuationChange, now: number): void {
+  #applyEvacuation(change: EvacuationChange, now: number): void {
     const { position } = this.fleet.evacuations;
     this.fleet.evacuate(change, now);
     for (const zone of change.evacuated) {
@@ -109,13 +109,13 @@
     }
   }
 
-  /** Applies rate limits that servers have stated to other VMs. */
+  /** Applies rate limits that other VMs have received from servers. */
   hearRates(rates: readonly ServerRate[], now: number): void {
     const changes = this.fleet.hearRates(rates, now);
     for (const each of changes) this.rateLimitChanged(each, now);
   }
 
-  /** Logs that the rate limit of a server has begun or ended. */
+  /** Logs the start or the end of a server's rate limit. */
   rateLimitChanged({ server, change }: ServerRateChange, now: number): void {
     this.note(`server.${change}`, {
       server: server.id,
@@ -124,7 +124,8 @@
     });
   }
 
-  /** Takes changes of the list of servers. */
+  /** Handles changes to the list of servers: closes the connections to servers that
+   * were removed or have restarted, and logs each change. */
   changeServers(changes: readonly FleetChange[], now: number): void {
     this.crashes.changed(changes, now);
     for (const { kind, server } of changes) {
@@ -142,14 +143,14 @@
     }
   }
 
-  /** The store answers again after a loss: entries that lapsed meanwhile are given
-   * the time to return. */
+  /** Handles the return of the store after an outage: servers whose registry entries
+   * expired during the outage get time to register again. */
   storeRegained(now: number): void {
     this.fleet.regained(now);
     this.note("store.regained", {});
   }
 
-  /** Takes assignments, those that are newer. */
+  /** Applies those assignments that are newer than the known ones. */
   assign(assignments: readonly Assignment[]): void {
     for (const assignment of assignments) {
       if (!this.directory.apply(assignment)) continue;
@@ -163,8 +164,8 @@
     }
   }
 
-  /** Takes changes of the assignments that build on the version `since`; those
-   * that do not follow on what is known here are asked for again. */
+  /** Applies changes to the assignments relative to version `since`. A change that does
+   * not follow on the known version is dropped, and the assignment is requested again. */
   changeAssignments(changes: readonly Assignment[], since: number): void {
     for (const change of changes) {
       if (!this.directory.change(change, since)) continue;
@@ -179,7 +180,7 @@
     }
   }
 
-  /** Takes the announcement of a term holder, if its term is newer. */
+  /** Accepts an announced term holder if its term is newer; returns whether it is. */
   followHolder(holder: HolderAddress): boolean {
     if (holder.term <= (this.#holder?.term ?? -1)) return false;
     this.#holder = holder;
@@ -187,7 +188,7 @@
     return true;
   }
 
-  #accused(accusation: Accusation): void {
+  #reportAccusation(accusation: Accusation): void {
     const { request, server, isNews } = accusation;
     this.serverEnded(accusation);
     if (!isNews) return;
@@ -199,7 +200,7 @@
     });
   }
 
-  /** Writes a line for the log. */
+  /** Emits a log line. */
   note(decision: string, detail: Detail): void {
     this.emit({ kind: "note", level: "info", decision, detail });
   }
--- a/src/core/entry.ts
+++ b/src/core/entry.ts
@@ -1,7 +1,7 @@
 /**
- * The reducer of an entry process: takes every event, answers with effects.
+ * The reducer of an entry process: each event returns the effects to carry out.
  *
- * It reads no clock and draws no random numbers but those of its seed, so the
+ * It reads no clock, and its random numbers depend on nothing but its seed, so the
  * same code runs over sockets and under virtual time.
  *
  * @module
@@ -22,13 +22,14 @@
 import { Shutdown } from "./shutdown.ts";
 import { StoreHealth } from "./store_health.ts";
 
-/** Pause between looks at the ranges while this VM leads, in milliseconds. */
-const LEADING_INTERVAL = 50;
-/** The same while orders are due: what was ordered is sent meanwhile. */
+/** Maximum time between two steps while this VM holds the term, in milliseconds. */
+const HOLDER_INTERVAL = 50;
+/** The same while further orders are due, in milliseconds: between two steps, the
+ * orders of the first one are sent. */
 const ORDER_INTERVAL = 1;
-/** Pause between looks at anything else, in milliseconds. */
+/** Maximum time between two steps on any other VM, in milliseconds. */
 const IDLE_INTERVAL = 250;
-/** Pause between looks at a shutdown, in milliseconds. */
+/** Maximum time between two steps during a shutdown, in milliseconds. */
 const SHUTDOWN_INTERVAL = 50;
 
 /** See the module's comment. */
@@ -44,14 +45,14 @@
   readonly #quarantineRecord: QuarantineRecord;
   #isReady = false;
   #isFollowingFeeds = true;
-  /** Time of the first event. */
+  /** Time of the first event, in milliseconds. */
   #startedAt = Infinity;
   #effects: EntryEffect[] = [];
-  /** Orders made in the current step. */
+  /** Orders created in the current step. */
   #orders: KeyspaceEffect[] = [];
 
   private constructor(options: EntryOptions) {
-    const emit = (...effects: EntryEffect[]) => this.#put(...effects);
+    const emit = (...effects: EntryEffect[]) => this.#emit(...effects);
     this.beliefs = Beliefs.create(
       emit,
       ({ request: { id, fingerprint } }) =>
@@ -103,12 +104,12 @@
     this.#registryTiming = options.registryTiming;
   }
 
-  /** The core of a process that knows nothing yet. */
+  /** Creates the core of a process without any cluster state. */
   static create(options: EntryOptions): Entry {
     return new Entry(options);
   }
 
-  /** What the balancer's readiness check is told. */
+  /** Whether the load balancer's readiness check succeeds. */
   get isReady(): boolean {
     return this.#isReady;
   }
@@ -118,45 +119,46 @@
     return this.peers.vms;
   }
 
-  /** Time since the sending of the last call that the store answered, in
-   * milliseconds. */
+  /** Time since the last answered call to the store was sent, in milliseconds. */
   storeSilence(now: number): number {
     return this.#store.silence(now);
   }
 
-  /** Takes one event. */
+  /** Processes one event and returns the effects to carry out. */
   step(event: EntryEvent): EntryEffect[] {
     this.#startedAt = Math.min(this.#startedAt, event.now);
     this.#reduce(event);
     this.#advance(event.now, event.kind === "timer");
     // Orders come last: an order is sent only after all effects of the step have been
-    // carried out, and its age may then rule out opening a connection.
+    // carried out, and by then it may be too old to open a connection.
     const effects = [...this.#effects, ...this.#orders];
     this.#effects = [];
     this.#orders = [];
     return effects;
   }
 
-  /** When a timer has to go off if nothing else happens before. */
+  /** Time at which the next timer event is due unless another event comes first. */
   nextAt(now: number): number {
-    const pause = this.#pause;
-    const stop = this.#shutdown.isStarted ? SHUTDOWN_INTERVAL : Infinity;
+    const interval = this.#stepInterval;
+    const shutdownInterval = this.#shutdown.isStarted
+      ? SHUTDOWN_INTERVAL
+      : Infinity;
     return Math.min(
       this.dispatcher.nextAt(),
       this.peers.nextAt(),
       Math.max(
-        this.#store.callableAt,
+        this.#store.retryAt,
         this.beliefs.registry.dueAt(this.#registryAge),
       ),
-      now + Math.min(pause, stop),
+      now + Math.min(interval, shutdownInterval),
     );
   }
 
-  /** Longest time without a step, in milliseconds. */
-  get #pause(): number {
+  /** Maximum time between two steps, in milliseconds. */
+  get #stepInterval(): number {
     const { holder, phase } = this.campaign;
     if (holder?.isBehind) return ORDER_INTERVAL;
-    return phase === "follower" ? IDLE_INTERVAL : LEADING_INTERVAL;
+    return phase === "follower" ? IDLE_INTERVAL : HOLDER_INTERVAL;
   }
 
   #reduce(event: EntryEvent): void {
@@ -169,7 +171,7 @@
       case "configuration.read":
         return this.beliefs.configure(event.configuration);
       case "evacuations.read":
-        return this.beliefs.evacuationsRead(event.read, now);
+        return this.beliefs.applyStoredEvacuations(event.read, now);
       case "servers.read":
         return this.#readServers(event);
       case "servers.failed":
@@ -198,30 +200,30 @@
       case "group.failed":
         return this.campaign.joinFailed(now);
       case "term.read":
-        return this.#put(...this.campaign.read(event.records, now));
+        return this.#emit(...this.campaign.read(event.records, now));
       case "term.claimed": {
         const { term, outcome } = event;
         this.beliefs.note("term.claimed", { term, outcome });
-        return this.#claimed(this.campaign.claimed(term, outcome, now));
+        return this.#termClaimed(this.campaign.claimed(term, outcome, now));
       }
       case "assignments.written": {
         const { term, outcome } = event;
-        return this.#put(...this.campaign.written(term, outcome, now));
+        return this.#emit(...this.campaign.written(term, outcome, now));
       }
       case "order.ended":
-        return this.#put(
+        return this.#emit(
           ...this.campaign.ordered(event.order, event.outcome, now),
         );
       case "request.arrived":
-        if (this.#shutdown.isTurningAway(now)) {
-          return this.#put(...this.dispatcher.turnAway(event.arrival));
+        if (this.#shutdown.isRejectingRequests(now)) {
+          return this.#emit(...this.dispatcher.turnAway(event.arrival));
         }
-        this.#countKey(event.arrival, now);
-        return this.#put(...this.dispatcher.arrive(event.arrival, now));
+        this.#recordKey(event.arrival, now);
+        return this.#emit(...this.dispatcher.arrive(event.arrival, now));
       case "request.late": {
         const { id: request, timeout, age } = event;
         const detail = { request, timeout, age };
-        return this.#put({
+        return this.#emit({
           kind: "note",
           level: "warn",
           decision: "request.read_late",
@@ -229,9 +231,9 @@
         });
       }
       case "request.left":
-        return this.#put(...this.dispatcher.leave(event.exchange, now));
+        return this.#emit(...this.dispatcher.leave(event.exchange, now));
       case "attempt.ended":
-        return this.#put(
+        return this.#emit(
           ...this.dispatcher.ended(event.attempt, event.outcome, now),
         );
       case "server.checked": {
@@ -246,7 +248,7 @@
     }
   }
 
-  /** Takes the steps that time alone brings. */
+  /** Carries out what depends on the time alone. */
   #advance(now: number, isTimerEvent: boolean): void {
     const { catalog, fleet } = this.beliefs;
     this.beliefs.changeServers(fleet.expire(now), now);
@@ -262,20 +264,20 @@
     );
     this.#updateFeeds(now);
     this.peers.advance(now);
-    this.#put(...this.dispatcher.advance(now));
-    if (this.#shutdown.isEnding(now)) this.#giveUpRequests(now);
+    this.#emit(...this.dispatcher.advance(now));
+    if (this.#shutdown.isStopImminent(now)) this.#endPendingRequests(now);
     this.#updateReadiness();
-    this.#put(...this.#shutdown.advance(this.dispatcher.pending, now));
+    this.#emit(...this.#shutdown.advance(this.dispatcher.pending, now));
   }
 
-  /** Reads the registry when what is known of it is too old. */
+  /** Reads the registry when the local copy is too old. */
   #advanceRegistry(now: number): void {
     if (this.#store.isFailing(now)) return;
     const fetch = this.beliefs.registry.fetch(now, this.#registryAge);
-    if (fetch !== null) this.#put(fetch);
+    if (fetch !== null) this.#emit(fetch);
   }
 
-  /** How old knowledge of the registry may be here, in milliseconds. */
+  /** Maximum age of the local copy of the registry, in milliseconds. */
   get #registryAge(): number {
     const { interval, maximumAge } = this.#registryTiming;
     return this.campaign.holder === null ? maximumAge : interval;
@@ -298,25 +300,25 @@
     );
     for (const each of effects) {
       if (isOrder(each)) this.#orders.push(each);
-      else this.#put(each);
+      else this.#emit(each);
     }
     if (this.campaign.holder !== null && !this.#store.isFailing(now)) {
       const write = this.#quarantineRecord.advance(now);
-      if (write !== null) this.#put(write);
+      if (write !== null) this.#emit(write);
     }
     const to = this.campaign.phase;
     if (from !== to) this.beliefs.note("term.phase", { from, to });
   }
 
-  /** Leaves the store's feeds to the term holder while this VM is told. Of the
-   * calls of 195 VMs on a quiet day, most of which observe, waiting reads and their
-   * news are about half (worked out). */
+  /** Stops following the store's feeds while the term holder sends this VM all updates.
+   * With 195 VMs, most of them observers, and little traffic, the long polls and the
+   * updates that they return make up about half of all calls to the store. */
   #updateFeeds(now: number): void {
     const isFollowing = !this.peers.isTold(now);
     if (isFollowing === this.#isFollowingFeeds) return;
     this.#isFollowingFeeds = isFollowing;
     this.beliefs.note("feeds.turned", { isFollowing });
-    this.#put({ kind: "feeds.follow", isOn: isFollowing });
+    this.#emit({ kind: "feeds.follow", isOn: isFollowing });
   }
 
   #readServers(event: EntryEvent & { kind: "servers.read" }): void {
@@ -333,9 +335,10 @@
     fleet.confirm((id) => registry.isListed(id), now);
   }
 
-  /** This VM was suspended: what it was told meanwhile may be lost. Where that is not
-   * certain, others' holds may not have run out by as much as the clock says, so it
-   * gives up all that it would decide by them. */
+  /** Handles a jump of the clock. If this VM was suspended, updates sent to it meanwhile
+   * may be lost. If that is not certain, only the time of day may have been set, and the
+   * leases of others may not have expired although the clock says so: this VM then drops
+   * all state from which it would conclude that they have. */
   #clockJumped(gap: number, isCertain: boolean): void {
     const detail = { gap: Math.round(gap), isCertain };
     this.beliefs.note("clock.jumped", detail);
@@ -345,8 +348,8 @@
     this.dispatcher.doubtTime(gap);
   }
 
-  #claimed(effects: KeyspaceEffect[]): void {
-    this.#put(...effects);
+  #termClaimed(effects: KeyspaceEffect[]): void {
+    this.#emit(...effects);
     for (const effect of effects) {
       if (effect.kind !== "holder.announce") continue;
       this.peers.askFormerHolder(effect.term, effect.formerTerm);
@@ -358,10 +361,10 @@
     this.beliefs.storeRegained(now);
   }
 
-  /** Notes the first failure of each step since the store answered last. */
+  /** Logs the first failure of each step since the store last answered. */
   #storeFailed(step: string, cause: string, now: number): void {
     if (!this.#store.failed(step, now)) return;
-    this.#put({
+    this.#emit({
       kind: "note",
       level: "warn",
       decision: "store.call_failed",
@@ -369,8 +372,8 @@
     });
   }
 
-  /** Counts a request's key as a sample of what is asked for. */
-  #countKey({ host, target, key }: RequestArrival, now: number): void {
+  /** Records a request's key as a sample of the load by key. */
+  #recordKey({ host, target, key }: RequestArrival, now: number): void {
     if (key === null) return;
     const { catalog } = this.beliefs;
     for (const { service } of catalog.route(host, target)?.destinations ?? []) {
@@ -386,15 +389,15 @@
     if (isReady === this.#isReady) return;
     this.#isReady = isReady;
     this.beliefs.note("readiness.changed", { isReady });
-    this.#put({ kind: "readiness.set", isReady });
+    this.#emit({ kind: "readiness.set", isReady });
   }
 
-  /** The time of a shutdown is all but over: whatever is left is answered, so that
-   * nothing is cut that could still be sent. */
-  #giveUpRequests(now: number): void {
+  /** Ends all pending requests shortly before the end of a shutdown, so that their
+   * responses, and those queued behind them, are sent before the connections close. */
+  #endPendingRequests(now: number): void {
     const reason = "this VM is stopping";
-    this.#put(...this.dispatcher.stopWaiting(reason, now));
-    this.#put(...this.dispatcher.breakOff(reason, now));
+    this.#emit(...this.dispatcher.stopWaiting(reason, now));
+    this.#emit(...this.dispatcher.breakOff(reason, now));
   }
 
   #startShutdown(lateness: number, now: number): void {
@@ -402,10 +405,10 @@
     const { pending } = this.dispatcher;
     const detail = { pending, lateness: Math.round(lateness) };
     this.beliefs.note("shutdown.started", detail);
-    this.#put({ kind: "callers.drain" }, ...this.campaign.retire());
+    this.#emit({ kind: "callers.drain" }, ...this.campaign.retire());
   }
 
-  #put(...effects: EntryEffect[]): void {
+  #emit(...effects: EntryEffect[]): void {
     this.#effects.push(...effects);
   }
 }
--- a/src/core/entry_effect.ts
+++ b/src/core/entry_effect.ts
@@ -1,5 +1,5 @@
 /**
- * Everything that the core wants done, as data.
+ * Effects: what the core asks the runtime to carry out, as data.
  *
  * @module
  */
@@ -18,22 +18,22 @@
   | AssignmentFetch
   | RegistryFetch
   | QuarantineWrite
-  /** A newer configuration than the one in force exists: read it now. */
+  /** Read the configuration now: a version newer than the active one exists. */
   | { kind: "configuration.fetch" }
-  /** The store's feeds are followed here, or left to the term holder, which tells
-   * what is new. */
+  /** Follow the store's feeds, or stop following them while the term holder sends
+   * the updates. */
   | { kind: "feeds.follow"; isOn: boolean }
-  /** Callers are held to these limits from now on. */
+  /** Enforce these limits on callers from now on. */
   | { kind: "limits.apply"; limits: CallerLimits }
-  /** The idle connections to a server, or to its older run, that is gone are of
-   * no more use; those in use end with their answer. */
+  /** Close the idle connections to a server that was removed, or whose previous run has
+   * ended; connections in use close after their response. */
   | { kind: "connections.close"; server: string }
-  /** What the balancer's readiness check is told. */
+  /** Set the result of the load balancer's readiness check. */
   | { kind: "readiness.set"; isReady: boolean }
-  /** Connections of callers end with their next answer. */
+  /** Close each caller connection after its next response. */
   | { kind: "callers.drain" }
-  /** Idle connections of callers are closed and no new ones taken; answered by
-   * `callers.closed`. */
+  /** Close idle caller connections and accept no new ones; the event `callers.closed`
+   * reports the end. */
   | { kind: "callers.close" }
-  /** Nothing is left to do. */
+  /** Stop the process: nothing is left to do. */
   | { kind: "process.stop" };
--- a/src/core/entry_event.ts
+++ b/src/core/entry_event.ts
@@ -1,6 +1,6 @@
 /**
- * Everything that the core is told. Each event carries the time of the
- * monotonic clock at which it was taken in, in milliseconds.
+ * Events: all input of the core. Each event carries the time of the monotonic clock
+ * at which it was received, in milliseconds.
  *
  * @module
  */
@@ -18,33 +18,34 @@
 import type { CrashRecord } from "./quarantine/index.ts";
 import type { RegistryRead } from "./registry/index.ts";
 
-/** The step towards the store of a membership call. */
+/** Step that failed membership calls to the store are reported under. */
 export const MEMBERSHIP_STEP = "join a group";
 
-/** What happened, without its time. */
+/** An event without its time. */
 export type Occurrence =
-  /** A timer that the core asked for went off. */
+  /** The timer that the core requested has expired. */
   | { kind: "timer" }
-  /** So many milliseconds have gone by while this machine was suspended; unless that
-   * is certain, its time of day may only have been set. */
+  /** The clock has jumped by `gap` milliseconds. If `isCertain`, the machine was
+   * suspended for that long; otherwise its time of day may only have been set. */
   | { kind: "clock.jumped"; gap: number; isCertain: boolean }
   | { kind: "configuration.read"; configuration: Configuration }
-  /** Operators' requests to evacuate availability zones were read. */
+  /** Evacuation requests for availability zones were read from the store. */
   | { kind: "evacuations.read"; read: EvacuationRead }
-  /** A read of the registry that was sent at `sentAt` was answered. */
+  /** The store answered a read of the registry that was sent at `sentAt`. */
   | { kind: "servers.read"; read: RegistryRead; sentAt: number }
-  /** It failed; with `isExpired` its records are no longer kept. */
+  /** A read of the registry failed; with `isExpired`, the store no longer retains the
+   * records at the position that was read. */
   | { kind: "servers.failed"; isExpired: boolean }
   | { kind: "assignments.read"; assignments: Assignment[] }
-  /** A VM announced that it holds a term. */
+  /** A VM has announced that it holds a term. */
   | { kind: "holder.announced"; holder: HolderAddress }
-  /** What is held back was read from the store, or written to it. */
+  /** The quarantine record was read from the store, or a write of it has ended. */
   | { kind: "quarantine.read"; records: CrashRecord[] }
   | { kind: "quarantine.written"; isDone: boolean }
-  /** The store has told who held the term last, if anybody did. */
+  /** The store has returned the last term holder, if there was one. */
   | { kind: "holder.read" }
   | { kind: "peer.received"; address: string; message: PeerMessage }
-  /** A call to the store that was sent at `sentAt` was answered. */
+  /** The store answered a call that was sent at `sentAt`. */
   | { kind: "store.answered"; sentAt: number }
   | { kind: "store.failed"; step: string; cause: string }
   | { kind: "group.joined"; membership: Membership }
@@ -54,15 +55,15 @@
   | { kind: "assignments.written"; term: number; outcome: WriteOutcome }
   | { kind: "order.ended"; order: number; outcome: OrderOutcome }
   | { kind: "request.arrived"; arrival: RequestArrival }
-  /** A request was refused whose caller's time was over when it was read. */
+  /** A request was rejected because its deadline had passed when it was read. */
   | { kind: "request.late"; id: string; timeout: number; age: number }
   | { kind: "request.left"; exchange: number }
-  /** After the close: all that was due to callers was sent. */
+  /** After `callers.close`: all responses have been sent and no request can arrive. */
   | { kind: "callers.closed" }
-  /** A server's address was looked at: whether nothing listens there. */
+  /** A probe of a server's address has ended; `isRefused` if nothing listens there. */
   | { kind: "server.checked"; server: string; isRefused: boolean }
   | { kind: "attempt.ended"; attempt: number; outcome: AttemptOutcome }
-  /** The process was asked to stop, this many milliseconds before it noticed. */
+  /** The process was asked to stop, `lateness` milliseconds before it noticed. */
   | { kind: "shutdown"; lateness: number };
 
 /** See the module's comment. */
--- a/src/core/entry_options.ts
+++ b/src/core/entry_options.ts
@@ -1,26 +1,27 @@
 /**
- * What the core of one entry process is made with.
+ * Options of the core of one entry process.
  *
  * @module
  */
 import type { RetryLimits } from "./dispatch/index.ts";
 import type { LeaseTiming } from "./keyspace/index.ts";
 
-/** Times of a shutdown, in milliseconds after it was asked for. */
+/** Times of a shutdown, in milliseconds after it was requested. */
 export interface ShutdownTiming {
-  /** Until then callers' new connections are taken: the balancer needs two
-   * readiness checks, a second apart, to turn to other VMs. */
+  /** New connections of callers are accepted until then: the load balancer needs two
+   * failed readiness checks, one second apart, to route to other VMs. */
   closeAfter: number;
-  /** The process stops then whatever is in flight. */
+  /** The process stops then, even with requests in flight. */
   stopAfter: number;
 }
 
-/** How old knowledge of the registry may be, in milliseconds. */
+/** Maximum ages of the local copy of the registry, in milliseconds. */
 export interface RegistryTiming {
-  /** Pause between the reads of the term holder. */
+  /** Interval between two reads by the term holder. */
   interval: number;
-  /** Age at which another VM no longer relies on the holder's word and reads
-   * itself: more than the holder's pause and a follower's report take. */
+  /** Age at which any other VM stops relying on the term holder's updates and reads the
+   * registry itself. It exceeds the holder's interval plus the time that a follower's
+   * report and its answer take. */
   maximumAge: number;
 }
 
@@ -28,15 +29,15 @@
 export interface EntryOptions {
   /** Address at which other VMs reach this one. */
   peerAddress: string;
-  /** Addresses of VMs to ask while the store cannot be reached. */
+  /** Addresses of VMs to contact while the store is unreachable. */
   seeds: readonly string[];
   availabilityZone: string;
   leaseTiming: LeaseTiming;
-  /** How fit this VM is to hold the term. */
+  /** Fitness of this VM to hold the term; VMs of higher fitness are preferred. */
   fitness: number;
   retryLimits: RetryLimits;
   shutdown: ShutdownTiming;
   registryTiming: RegistryTiming;
-  /** Seed of all random numbers. */
+  /** Seed of all random numbers that the core draws. */
   seed: number;
 }
--- a/src/core/entry_status.ts
+++ b/src/core/entry_status.ts
@@ -1,5 +1,5 @@
 /**
- * What one entry process believes, for operators.
+ * Status of one entry process, for operators.
  *
  * @module
  */
@@ -12,13 +12,13 @@
   pending: number;
   /** Estimated number of VMs, or null. */
   vms: number | null;
-  /** Time since the store answered a call. */
+  /** Time since the last answered call to the store was sent. */
   storeSilence: number;
   term: {
     phase: string;
     /** Address of the holder, or null. */
     holder: string | null;
-    /** Time since the holder was heard. */
+    /** Time since the last message from the holder. */
     holderSilence: number;
   };
   servers: {
@@ -29,14 +29,14 @@
     isPaused: boolean;
     /** Whether its availability zone is evacuated. */
     isEvacuated: boolean;
-    /** Whether it has just started, by its own word. */
+    /** Whether it reports that it has just started and is still warming up. */
     isWarming: boolean;
     inFlight: number;
     latency: number | null;
     /** Maximum requests per second from all VMs combined; null without a limit. */
     rateLimit: number | null;
   }[];
-  /** Availability zones that operators have asked to evacuate. */
+  /** Availability zones that operators have evacuated. */
   evacuatedZones: string[];
   assignments: {
     service: string;
@@ -44,22 +44,22 @@
     version: number;
     ranges: number;
     open: number;
-    /** Servers that have keys. */
+    /** Number of servers that keys are assigned to. */
     servers: number;
   }[];
-  /** Requests that are held back, since servers have ended under them. */
+  /** Quarantined requests: servers have ended while they ran them. */
   quarantine: {
     fingerprint: string;
-    /** Host and path, cut short. */
+    /** Host and path, truncated. */
     target: string;
-    /** Runs of servers that ended under it. */
+    /** Number of server runs that ended while they ran it. */
     ends: number;
-    /** Time until it is let through for a trial. */
+    /** Time until one trial of the request is permitted. */
     left: number;
   }[];
 }
 
-/** The status of `entry` at `now`. */
+/** Describes the status of `entry` at `now`. */
 export function describeEntry(entry: Entry, now: number): EntryStatus {
   return {
     configuration: {
--- a/src/core/entry_test.ts
+++ b/src/core/entry_test.ts
@@ -6,14 +6,14 @@
 import type { EntryEffect } from "./entry_effect.ts";
 import type { Occurrence } from "./entry_event.ts";
 
-function configured(version: number): Occurrence {
+function configurationRead(version: number): Occurrence {
   return {
     kind: "configuration.read",
     configuration: emptyConfiguration(version),
   };
 }
 
-function told(configuration: number): Occurrence {
+function holderAlive(configuration: number): Occurrence {
   return {
     kind: "peer.received",
     address: "holder",
@@ -31,23 +31,23 @@
 
 const kinds = (effects: EntryEffect[]) => effects.map((each) => each.kind);
 
-test("entry: a configuration that only a peer has is fetched, not too often", (t) => {
+test("entry: a newer configuration of a peer is fetched after a delay, at limited frequency", (t) => {
   const { step } = createSteppedEntry();
-  step(0, configured(3));
-  t.false(kinds(step(10, told(3))).includes("configuration.fetch"));
-  // It is left to arrive by itself for a while, then fetched.
-  t.false(kinds(step(20, told(5))).includes("configuration.fetch"));
-  t.false(kinds(step(519, told(5))).includes("configuration.fetch"));
-  t.true(kinds(step(620, told(5))).includes("configuration.fetch"));
-  t.false(kinds(step(630, told(5))).includes("configuration.fetch"));
-  t.true(kinds(step(1_100, told(5))).includes("configuration.fetch"));
-  step(1_110, configured(5));
-  t.false(kinds(step(2_000, told(5))).includes("configuration.fetch"));
+  step(0, configurationRead(3));
+  t.false(kinds(step(10, holderAlive(3))).includes("configuration.fetch"));
+  // It can still arrive from the store for a while; after that it is fetched.
+  t.false(kinds(step(20, holderAlive(5))).includes("configuration.fetch"));
+  t.false(kinds(step(519, holderAlive(5))).includes("configuration.fetch"));
+  t.true(kinds(step(620, holderAlive(5))).includes("configuration.fetch"));
+  t.false(kinds(step(630, holderAlive(5))).includes("configuration.fetch"));
+  t.true(kinds(step(1_100, holderAlive(5))).includes("configuration.fetch"));
+  step(1_110, configurationRead(5));
+  t.false(kinds(step(2_000, holderAlive(5))).includes("configuration.fetch"));
 });
 
-test("entry: a shutdown leaves the group at once and stops when idle", (t) => {
+test("entry: on shutdown the VM leaves the group at once and stops when idle", (t) => {
   const { step } = createSteppedEntry();
-  step(0, configured(1));
+  step(0, configurationRead(1));
   t.snapshot({
     asked: kinds(step(1_000, { kind: "shutdown", lateness: 0 })),
     soon: kinds(step(4_000, { kind: "timer" })),
@@ -58,36 +58,36 @@
   });
 });
 
-test("entry: a shutdown ends at its time whatever callers are still sent", (t) => {
+test("entry: a shutdown ends at the time limit even if responses are still being sent", (t) => {
   const { step } = createSteppedEntry();
-  step(0, configured(1));
+  step(0, configurationRead(1));
   step(1_000, { kind: "shutdown", lateness: 0 });
   step(4_600, { kind: "timer" });
   t.deepEqual(kinds(step(6_740, { kind: "timer" })), []);
   t.true(kinds(step(6_750, { kind: "timer" })).includes("process.stop"));
 });
 
-test("entry: the first failure of each step is noted while the store is out", (t) => {
+test("entry: during a store outage only the first failure of each step is logged", (t) => {
   const { step } = createSteppedEntry();
   const failed = (step: string): Occurrence => ({
     kind: "store.failed",
     step,
     cause: "no answer",
   });
-  const notes = (effects: EntryEffect[]) =>
+  const decisions = (effects: EntryEffect[]) =>
     effects.flatMap((each) => each.kind === "note" ? [each.decision] : []);
   t.snapshot({
-    first: notes(step(0, failed("join"))),
-    again: notes(step(10, failed("join"))),
-    other: notes(step(20, failed("read"))),
-    answered: notes(step(30, { kind: "store.answered", sentAt: 25 })),
-    next: notes(step(40, failed("join"))),
+    first: decisions(step(0, failed("join"))),
+    again: decisions(step(10, failed("join"))),
+    other: decisions(step(20, failed("read"))),
+    answered: decisions(step(30, { kind: "store.answered", sentAt: 25 })),
+    next: decisions(step(40, failed("join"))),
   });
 });
 
-test("entry: connections to the older run of a server are dropped", (t) => {
+test("entry: connections to the previous run of a server are closed", (t) => {
   const { step } = createSteppedEntry();
-  const list = (position: number, incarnation: number) => {
+  const readRegistry = (position: number, incarnation: number) => {
     const entries = [backendServer("i-1", { incarnation, address: "h:1" })];
     const read = {
       entries,
@@ -99,15 +99,19 @@
     return step(position, { kind: "servers.read", read, sentAt: position })
       .filter((each) => each.kind === "connections.close");
   };
-  t.deepEqual(list(1, 100), []);
-  t.deepEqual(list(2, 100), []);
-  t.deepEqual(list(3, 200), [{ kind: "connections.close", server: "i-1" }]);
+  t.deepEqual(readRegistry(1, 100), []);
+  t.deepEqual(readRegistry(2, 100), []);
+  t.deepEqual(readRegistry(3, 200), [
+    { kind: "connections.close", server: "i-1" },
+  ]);
 });
 
-test("entry: a peer's word without a position does not change which run is meant", (t) => {
+test("entry: a peer's state without a registry position does not replace a server's known run", (t) => {
   const { entry, step } = createSteppedEntry();
-  const state = (servers: [id: string, incarnation: number][]): Occurrence => {
-    const read = configured(1);
+  const stateTold = (
+    servers: [id: string, incarnation: number][],
+  ): Occurrence => {
+    const read = configurationRead(1);
     if (read.kind !== "configuration.read") throw new Error("unexpected");
     return {
       kind: "peer.received",
@@ -128,10 +132,10 @@
       },
     };
   };
-  step(0, state([["i-1", 200]]));
-  // The store stays silent, so peers go on being believed.
+  step(0, stateTold([["i-1", 200]]));
+  // The store stays unreachable, so state from peers is still applied.
   step(60_000, { kind: "timer" });
-  step(60_010, state([["i-1", 100], ["i-2", 300]]));
+  step(60_010, stateTold([["i-1", 100], ["i-2", 300]]));
   const runs = entry.beliefs.fleet.all().map((each) =>
     `${each.id} ${each.entry.incarnation}`
   );
@@ -139,21 +143,20 @@
 });
 
 /**
- * Seen: a VM went on listing a server that had ended half a minute before, and
- * sent requests to it. It had slept through the removal; when it woke, the term
- * holder's news took the server off its list, and a peer that did not know of the
- * removal yet put it back by telling all that it knew. News say only what changes,
- * so nothing ever took it off again.
+ * Guards against a VM that keeps a removed server and goes on sending requests to it.
+ * After a suspension the VM receives both the term holder's registry update, which
+ * removes the server, and the whole state of a peer that does not know of the removal
+ * yet. If the state adds the server again, it stays: later updates contain changes only.
  */
 for (const isFirst of [true, false]) {
   const order = isFirst ? "before" : "after";
-  test(`entry: a server that has ended goes, though a peer tells of it ${order} the news`, (t) => {
+  test(`entry: a removed server stays removed if a peer's outdated state comes ${order} the update`, (t) => {
     const { entry, step } = createSteppedEntry();
     const servers = [backendServer("i-1", { incarnation: 5, address: "h:1" })];
-    const configuration = configured(1);
+    const configuration = configurationRead(1);
     if (configuration.kind !== "configuration.read") return t.fail();
     const knowledge = { term: 0, version: 0, configuration: 1 };
-    const state: Occurrence = {
+    const stateTold: Occurrence = {
       kind: "peer.received",
       address: "vm-2",
       message: {
@@ -162,7 +165,7 @@
         state: { ...configuration, servers, assignments: [], holder: null },
       },
     };
-    const news = (since: number, removed: string[]): Occurrence => ({
+    const serversTold = (since: number, removed: string[]): Occurrence => ({
       kind: "peer.received",
       address: "vm-3",
       message: {
@@ -188,17 +191,17 @@
     };
     step(10, { kind: "servers.read", read, sentAt: 0 });
     step(60_000, { kind: "timer" });
-    const told = [state, news(5, ["i-1"])];
-    for (const each of isFirst ? told : told.reverse()) step(60_010, each);
-    step(60_500, news(6, []));
-    step(63_000, state);
-    step(63_500, news(6, []));
+    const sent = [stateTold, serversTold(5, ["i-1"])];
+    for (const each of isFirst ? sent : sent.reverse()) step(60_010, each);
+    step(60_500, serversTold(6, []));
+    step(63_000, stateTold);
+    step(63_500, serversTold(6, []));
     step(66_000, { kind: "timer" });
     t.deepEqual(entry.beliefs.fleet.all().map(({ id }) => id), []);
   });
 }
 
-test("entry: the holder's word spares a read of the registry, and its silence brings one", (t) => {
+test("entry: the registry is read only if the term holder sends no update", (t) => {
   const { step } = createSteppedEntry();
   const entries = [backendServer("i-1", { address: "h:1" })];
   const read = {
@@ -213,7 +216,7 @@
   t.is(fetches(step(0, { kind: "timer" })), 1);
   step(10, { kind: "store.answered", sentAt: 0 });
   step(10, { kind: "servers.read", read, sentAt: 0 });
-  const word = (knownAt: number, removed: string[]): Occurrence => ({
+  const registryUpdate = (knownAt: number, removed: string[]): Occurrence => ({
     kind: "peer.received",
     address: "holder",
     message: {
@@ -233,20 +236,20 @@
       },
     },
   });
-  // Long enough after the store was first reached for removals to count.
+  // Removals are applied only some time after the store was first reached.
   for (const now of [1_000, 2_000, 3_000]) {
     step(now, { kind: "store.answered", sentAt: now - 5 });
     step(now, { kind: "servers.read", read, sentAt: now - 5 });
   }
-  const effects = step(4_000, word(3_900, ["i-1"]));
+  const effects = step(4_000, registryUpdate(3_900, ["i-1"]));
   t.true(kinds(effects).includes("connections.close"));
   t.is(fetches(step(5_000, { kind: "timer" })), 0);
   t.is(fetches(step(5_100, { kind: "timer" })), 1);
 });
 
-test("entry: requests that come late in a shutdown are turned away, others not", (t) => {
+test("entry: requests are rejected late in a shutdown and accepted before", (t) => {
   const { step } = createSteppedEntry();
-  step(0, configured(1));
+  step(0, configurationRead(1));
   step(1_000, { kind: "shutdown", lateness: 0 });
   const decisionAt = (now: number) =>
     step(now, {
--- a/src/core/holder_change_test.ts
+++ b/src/core/holder_change_test.ts
@@ -1,11 +1,10 @@
 /**
- * A new term holder among 195 VMs. Seen: all others hear of it in the same moment and
- * open connections to it, which it takes one after the other; each gave its own up
- * after 1.5 s without an answer and opened another. Nobody was answered within 3 s, so
- * the small VMs took the fit holder for gone and came forward, and a term that one of
- * 177 small VMs holds does not last: the term passed on each 2 to 3 s to the end, with
- * 14,379 calls to the store and 0.33 of the keyed kind's worth earned. The holder had
- * written the record all the while.
+ * Guards against repeated changes of the term holder after a new one is announced to
+ * many VMs (195). If all connect to it at once, it accepts the connections one after the
+ * other, and each VM retries after 1.5 s without an answer. With no answer within 3 s,
+ * the VMs of low fitness assume that the holder has failed and stand for election,
+ * although it keeps writing assignments. A term held by a VM of low fitness is short, so
+ * the term then passes on every 2 to 3 s, with many calls to the store.
  */
 import test from "ava";
 import { emptyConfiguration } from "../../test/support/empty_configuration.ts";
@@ -14,11 +13,11 @@
 import type { Occurrence } from "./entry_event.ts";
 
 const HOLDER = "holder:1";
-/** Longest time over which first reports are spread, in milliseconds. */
-const SPREAD = 500;
+/** Time over which the first reports to a new holder are spread, in milliseconds. */
+const REPORT_SPREAD = 500;
 
-/** A small VM with this seed that has heard of `vms` VMs, as a new holder is
- * announced at 0; timers go off each millisecond that it asks for. */
+/** Creates a VM of low fitness in a deployment of `vms` VMs, to which a new holder of
+ * higher fitness is announced at time 0. */
 function createFollower(vms: number, seed: number) {
   const { entry, step } = createSteppedEntry({ fitness: 0.5, seed });
   step(-100, {
@@ -48,11 +47,11 @@
   return effect.kind === "peer.send" && effect.message.kind === "keys.asked";
 }
 
-/** When the first report goes to the new holder. */
+/** Returns when the first report is sent to the new holder. */
 function firstReportAt(vms: number, seed: number): number {
   const { entry, step, announced } = createFollower(vms, seed);
   if (announced.some(isReport)) return 0;
-  for (let now = 0; now <= SPREAD; now += 1) {
+  for (let now = 0; now <= REPORT_SPREAD; now += 1) {
     if (now < Math.floor(entry.nextAt(now))) continue;
     if (step(now, { kind: "timer" }).some(isReport)) return now;
   }
@@ -64,60 +63,65 @@
     { length: 195 },
     (_, i) => firstReportAt(195, i + 1),
   );
-  t.true(Math.max(...times) <= SPREAD);
-  const busiest = Array.from(
+  t.true(Math.max(...times) <= REPORT_SPREAD);
+  const counts = Array.from(
     { length: 10 },
     (_, i) => times.filter((time) => Math.floor(time / 50) === i).length,
   );
-  t.true(Math.max(...busiest) < 40, `${busiest}`);
-  // Few are answered at once: the keys of a lost holder wait for nothing else.
-  const few = Array.from({ length: 11 }, (_, i) => firstReportAt(11, i + 1));
-  t.true(few.every((time) => time === 0), `${few}`);
+  t.true(Math.max(...counts) < 40, `${counts}`);
+  // A small number of VMs reports without delay, since the keys of a failed holder are
+  // granted only after these reports.
+  const fewTimes = Array.from(
+    { length: 11 },
+    (_, i) => firstReportAt(11, i + 1),
+  );
+  t.true(fewTimes.every((time) => time === 0), `${fewTimes}`);
 });
 
-/** When a small VM stands for election though the announced holder is fitter;
- * `versionAt` tells what the record holds when it is read, each second. */
-function standsAt(versionAt: (now: number) => number): number {
+/** Returns when a VM of low fitness stands for election although the announced holder
+ * is fitter; Infinity if it does not. `versionAt` returns the version of the recorded
+ * assignments, which the VM reads every second. */
+function candidacyAt(versionAt: (now: number) => number): number {
   const { step } = createFollower(195, 1);
-  let stoodAt = Infinity;
-  /** Takes an occurrence; membership calls are answered. */
-  const take = (now: number, occurrence: Occurrence) => {
+  let joinedAt = Infinity;
+  /** Passes an event to the VM and answers its membership calls. */
+  const deliver = (now: number, occurrence: Occurrence) => {
     for (const effect of step(now, occurrence)) {
       if (effect.kind !== "group.join") continue;
       const { group } = effect;
-      if (group === "electorate") stoodAt = Math.min(stoodAt, now);
+      if (group === "electorate") joinedAt = Math.min(joinedAt, now);
       const membership = {
         generation: 1,
         isElected: false,
         sentAt: now,
         group,
       };
-      take(now, { kind: "group.joined", membership });
+      deliver(now, { kind: "group.joined", membership });
     }
   };
   const membership = { generation: 1, isElected: false, sentAt: 0 };
-  take(0, {
+  deliver(0, {
     kind: "group.joined",
     membership: { ...membership, group: "observers" },
   });
   for (let now = 0; now < 12_000; now += 50) {
-    take(now, { kind: "timer" });
+    deliver(now, { kind: "timer" });
     if (now % 1_000 !== 0) continue;
     const assignment = { service: "s", term: 2, version: versionAt(now) };
     const range = { first: 0, last: 65_535, server: "i", address: "h:1" };
-    take(now, {
+    deliver(now, {
       kind: "assignments.read",
       assignments: [{ ...assignment, ranges: [{ ...range, isOpen: true }] }],
     });
   }
-  return stoodAt;
+  return joinedAt;
 }
 
-test("holder change: a fit holder that goes on writing the record is not taken for gone", (t) => {
-  t.is(standsAt((now) => now / 1_000), Infinity);
+test("holder change: a holder that does not answer but keeps writing assignments is not replaced", (t) => {
+  t.is(candidacyAt((now) => now / 1_000), Infinity);
 });
 
-test("holder change: one that writes no more is", (t) => {
-  const at = standsAt((now) => Math.min(4, now / 1_000));
+test("holder change: a holder that does not answer and stops writing assignments is replaced", (t) => {
+  const at = candidacyAt((now) => Math.min(4, now / 1_000));
   t.true(at > 7_000 && at < 8_000, `${at}`);
 });
--- a/src/core/random.ts
+++ b/src/core/random.ts
@@ -1,12 +1,12 @@
 /**
- * Seeded random numbers: the core draws none that its seed does not determine.
+ * Seeded random numbers: the core draws no others, so that runs can be repeated.
  *
  * @module
  */
 import { uniformFloat64 as draw } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 
-/** A source of numbers in [0, 1) that depends on nothing but its seed. */
+/** Creates a generator of uniform numbers in [0, 1) that depends on its seed alone. */
 export function uniformFloat64(seed: number): () => number {
   const generator = xoroshiro128plus(seed);
   return () => draw(generator);
--- a/src/core/shutdown.ts
+++ b/src/core/shutdown.ts
@@ -1,69 +1,70 @@
 /**
- * The steps of a shutdown: new connections are taken until the balancer has
- * turned to other VMs; then the process stops when nothing is in flight and all
- * answers were sent, or when its time is over.
+ * The phases of a shutdown: new connections are accepted until the load balancer routes
+ * to other VMs; the process then stops once no request is in flight and all responses
+ * have been sent, or when the time limit is reached.
  *
  * @module
  */
 import type { EntryEffect } from "./entry_effect.ts";
 import type { ShutdownTiming } from "./entry_options.ts";
 
-/** Share of the time before the close after which new requests are turned away:
- * what is taken later and runs for long would be cut off at the end by force, which
- * callers bear only of requests of the first 3 s. By then the balancer has turned to
- * other VMs. */
-const TURN_AWAY_SHARE = 0.8;
+/** Share of the time until the close after which new requests are rejected. A long
+ * request accepted later could be cut off when the process is forced to stop, which
+ * callers tolerate only for requests of the first 3 s. By this time the load balancer
+ * routes to other VMs. */
+const REJECTION_SHARE = 0.8;
 
-/** Time before the end in which nothing waits any more, in milliseconds: what
- * callers are told instead has to reach them. */
-const PARTING_TIME = 250;
+/** Time before the forced stop at which all pending requests are ended, in
+ * milliseconds: the responses still have to reach their callers. */
+const FINAL_RESPONSE_TIME = 250;
 
 /** See the module's comment. */
 export class Shutdown {
   #startedAt: number | null = null;
   #isClosed = false;
-  #areCallersClosed = false;
+  #hasClosedCallers = false;
   #isStopped = false;
 
   private constructor(private readonly timing: ShutdownTiming) {}
 
-  /** A shutdown that nobody has asked for. */
+  /** Creates a shutdown that has not been requested. */
   static create(timing: ShutdownTiming): Shutdown {
     return new Shutdown(timing);
   }
 
-  /** Whether it was asked for. */
+  /** Whether the shutdown was requested. */
   get isStarted(): boolean {
     return this.#startedAt !== null;
   }
 
-  /** Whether requests that come now are turned away. */
-  isTurningAway(now: number): boolean {
+  /** Whether requests that arrive now are rejected. */
+  isRejectingRequests(now: number): boolean {
     if (this.#startedAt === null) return false;
-    return now - this.#startedAt >= this.timing.closeAfter * TURN_AWAY_SHARE;
+    return now - this.#startedAt >= this.timing.closeAfter * REJECTION_SHARE;
   }
 
-  /** Whether its time is all but over: what is not answered by now would be cut with
-   * its connection, and with it all answers that stand behind. */
-  isEnding(now: number): boolean {
+  /** Whether the forced stop is imminent. A request that is still pending then would be
+   * cut off with its connection, and so would all responses queued behind it. */
+  isStopImminent(now: number): boolean {
     if (this.#startedAt === null) return false;
-    return now - this.#startedAt >= this.timing.stopAfter - PARTING_TIME;
+    return now - this.#startedAt >= this.timing.stopAfter - FINAL_RESPONSE_TIME;
   }
 
-  /** It was asked for at `askedAt`; false when it was before. The end by force
-   * counts from then, however late a busy process sees it. */
-  start(askedAt: number): boolean {
+  /** Starts the shutdown as of `requestedAt`, from which the time until the forced stop
+   * counts, however late a busy process notices the request. Returns false if it was
+   * started before. */
+  start(requestedAt: number): boolean {
     if (this.#startedAt !== null) return false;
-    this.#startedAt = askedAt;
+    this.#startedAt = requestedAt;
     return true;
   }
 
-  /** Nothing is due to any caller, and no request comes any more. */
+  /** Records that all responses have been sent and no request can arrive. */
   callersClosed(): void {
-    this.#areCallersClosed = true;
+    this.#hasClosedCallers = true;
   }
 
-  /** Takes the steps that are due while `pending` requests are in flight. */
+  /** Returns the effects that are due while `pending` requests are in flight. */
   advance(pending: number, now: number): EntryEffect[] {
     if (this.#startedAt === null || this.#isStopped) return [];
     const effects: EntryEffect[] = [];
@@ -72,8 +73,9 @@
       this.#isClosed = true;
       effects.push({ kind: "callers.close" });
     }
-    // What the callers' side still reads or sends does not count as pending.
-    const isIdle = this.#areCallersClosed && pending === 0;
+    // `pending` does not include requests that are still being read, nor responses that
+    // are still being sent: for those, `callersClosed` has to be called.
+    const isIdle = this.#hasClosedCallers && pending === 0;
     if (!isIdle && elapsed < this.timing.stopAfter) return effects;
     this.#isStopped = true;
     const detail = { pending };
--- a/src/core/shutdown_waiting_test.ts
+++ b/src/core/shutdown_pending_request_test.ts
@@ -1,7 +1,7 @@
 /**
- * A request that waits for a server when the time of a shutdown is over has run
- * nowhere. Its caller is told so, with a refusal that it may act upon, before the
- * process ends; it is not cut off with its connection.
+ * A request that still waits for a server at the time limit of a shutdown has not run
+ * anywhere. Its caller has to receive a response that says so and allows a retry, before
+ * the process closes the connection.
  *
  * @module
  */
@@ -11,8 +11,8 @@
 import { createSteppedEntry } from "../../test/support/stepped_entry.ts";
 import type { BackendServer } from "./fleet/index.ts";
 
-/** A request waits for up to 0.6 of this, in milliseconds: longer than the
- * process lives on. */
+/** A request waits for a server for up to 0.6 of this time, in milliseconds: longer than
+ * the shutdown takes. */
 const TARGET_LATENCY = 12_000;
 const LIMITS = {
   maximumHeaderBytes: 1,
@@ -21,7 +21,8 @@
   idleTimeout: 1,
 };
 
-/** A process that knows a keyed service, whose keys `server` holds, or nobody. */
+/** Creates a process with a keyed service whose keys all belong to `server`, or to no
+ * server if null. */
 function createEntry(server: BackendServer | null = null) {
   const { step } = createSteppedEntry();
   step(0, {
@@ -79,7 +80,7 @@
   fingerprint: fingerprintOf("/"),
 };
 
-test("shutdown: a request that waits when its time is over is refused, not cut", (t) => {
+test("shutdown: a request that waits for a server at the time limit gets a response", (t) => {
   const { step } = createEntry();
   step(500, { kind: "shutdown", lateness: 0 });
   const effects = step(3_300, { kind: "request.arrived", arrival: ARRIVAL });
@@ -92,12 +93,11 @@
   t.true(refused >= 0 && refused < kinds.indexOf("process.stop"));
 });
 
-// Seen: a caller that sends further requests before it has an answer got none to one
-// that its server had answered 3.9 s before. The answer stood behind that of an
-// earlier request, whose server was still at work when the process stopped, and both
-// were cut with the connection. Its log: shutdown.finished with requests pending, and
-// the server's run had ended well.
-test("shutdown: a request that runs beyond its time is given up, and answers behind it are sent", (t) => {
+// Guards against lost responses with HTTP pipelining: the response to a request was
+// ready for 3.9 s, but queued behind that of an earlier request, which its server was
+// still running when the process stopped. Both were lost with the connection, and the
+// log contained shutdown.finished with requests pending.
+test("shutdown: a request that still runs at the time limit gets a response, so that responses queued behind it are sent", (t) => {
   const { step } = createEntry(backendServer("i-1"));
   const effects = step(400, { kind: "request.arrived", arrival: ARRIVAL });
   t.true(effects.some(({ kind }) => kind === "attempt.start"));
@@ -106,9 +106,9 @@
     effects.push(...step(now, { kind: "timer" }));
   }
   const kinds = effects.map(({ kind }) => kind);
-  const answered = kinds.indexOf("request.refuse");
-  t.true(answered >= 0 && answered < kinds.indexOf("process.stop"));
-  const answer = effects[answered];
-  t.is(answer.kind === "request.refuse" && answer.status, 504);
+  const refused = kinds.indexOf("request.refuse");
+  t.true(refused >= 0 && refused < kinds.indexOf("process.stop"));
+  const refusal = effects[refused];
+  t.is(refusal.kind === "request.refuse" && refusal.status, 504);
   t.true(kinds.includes("attempt.cancel"));
 });
--- a/src/core/store_health.ts
+++ b/src/core/store_health.ts
@@ -1,51 +1,52 @@
 /**
- * What this VM knows of whether the store answers.
+ * Tracks whether the store answers this VM, and suppresses billed calls in an outage.
  *
  * ```ts
  * health.failed("read the registry", now);
- * health.isFailing(now); // true: no paid call is made
- * health.answered(sentAt, now); // a membership call got through
+ * health.isFailing(now); // true: no billed call is made
+ * health.answered(sentAt, now); // a membership call was answered
  * ```
  *
  * @module
  */
 import { MEMBERSHIP_STEP } from "./entry_event.ts";
 
-/** The store counts as lost after this long without an answer, in
- * milliseconds: some calls of each second are missing by then. */
+/** Time without an answer after which the store counts as lost, in milliseconds. Several
+ * calls are made each second, so several answers are missing by then. */
 const LOST_AFTER = 1_500;
-/** Longest time without paid calls after one has failed, in milliseconds: refused
- * calls are paid for too, and an outage lasts seconds. */
-const CALL_PAUSE = 2_000;
+/** Time without billed calls after one has failed, in milliseconds: rejected calls are
+ * billed too, and an outage lasts seconds. */
+const RETRY_DELAY = 2_000;
 
-/** See the module's comment. Times are milliseconds of this VM's clock. */
+/** See the module's comment. Times are milliseconds of this VM's monotonic clock. */
 export class StoreHealth {
-  /** When the last call that was answered was sent. */
+  /** When the last answered call was sent. */
   #answeredAt = -Infinity;
-  /** When a paid call failed, if none was answered since. */
+  /** When a billed call last failed, if no call was answered since. */
   #failedAt = -Infinity;
-  /** Steps that have failed since the store answered. */
+  /** Steps that have failed since the store last answered. */
   readonly #failingSteps = new Set<string>();
   #isLost = true;
 
   private constructor() {}
 
-  /** Nothing has been heard of the store. */
+  /** Creates the state before the first answer: the store counts as lost. */
   static create(): StoreHealth {
     return new StoreHealth();
   }
 
-  /** Whether the store has not answered for long. */
+  /** Whether the store counts as lost. */
   get isLost(): boolean {
     return this.#isLost;
   }
 
-  /** Time since the sending of the last call that was answered. */
+  /** Time since the last answered call was sent. */
   silence(now: number): number {
     return now - this.#answeredAt;
   }
 
-  /** A call that was sent at `sentAt` was answered. True when that ends a loss. */
+  /** Records the answer to a call that was sent at `sentAt`. Returns whether the store
+   * was lost until now. An answer that took longer than the loss timeout ends no loss. */
   answered(sentAt: number, now: number): boolean {
     this.#answeredAt = Math.max(this.#answeredAt, sentAt);
     if (now - sentAt > LOST_AFTER) return false;
@@ -56,9 +57,9 @@
     return wasLost;
   }
 
-  /** Another VM was in touch with the store at `at` and tells what is new there:
-   * this one misses nothing, whether its own calls are answered or not. True when
-   * that ends a loss. */
+  /** Records that another VM, which sends this one the store's updates, reached the
+   * store at `at`: this VM is up to date even if its own calls are not answered. Returns
+   * whether the store was lost until now. */
   vouched(at: number, now: number): boolean {
     this.#answeredAt = Math.max(this.#answeredAt, at);
     if (!this.#isLost || now - at > LOST_AFTER) return false;
@@ -66,7 +67,8 @@
     return true;
   }
 
-  /** A call failed. True when it is the first failure of its step. */
+  /** Records a failed call. Returns whether it is the first failure of its step since
+   * the store last answered. */
   failed(step: string, now: number): boolean {
     if (step !== MEMBERSHIP_STEP) this.#failedAt = now;
     if (this.#failingSteps.has(step)) return false;
@@ -75,20 +77,20 @@
   }
 
   /**
-   * Whether a paid call has failed just now and none was answered since. No
-   * further one is made then: the membership calls, which cost a tenth, find out
-   * when the store answers again.
+   * Whether a billed call has failed within the retry delay and no call was answered
+   * since. No further billed call is made meanwhile: the membership calls, which cost a
+   * tenth, detect when the store answers again.
    */
   isFailing(now: number): boolean {
-    return now < this.callableAt;
+    return now < this.retryAt;
   }
 
-  /** Until when no paid call is made; in the past while the store answers. */
-  get callableAt(): number {
-    return this.#failedAt + CALL_PAUSE;
+  /** Time until which no billed call is made; in the past while the store answers. */
+  get retryAt(): number {
+    return this.#failedAt + RETRY_DELAY;
   }
 
-  /** Looks at the clock. True when the store has just become lost. */
+  /** Returns whether the store has become lost since the last call. */
   advance(now: number): boolean {
     if (this.#isLost || this.silence(now) <= LOST_AFTER) return false;
     this.#isLost = true;
--- a/src/core/store_health_test.ts
+++ b/src/core/store_health_test.ts
@@ -2,19 +2,19 @@
 import { MEMBERSHIP_STEP } from "./entry_event.ts";
 import { StoreHealth } from "./store_health.ts";
 
-test("store health: lost after a silence, regained with an answer", (t) => {
+test("store health: the store is lost after a time without answers and regained with an answer", (t) => {
   const health = StoreHealth.create();
   t.true(health.isLost);
   t.true(health.answered(0, 4));
   t.false(health.advance(1_500));
   t.true(health.advance(1_501));
   t.true(health.isLost);
-  // An answer that was long on its way says nothing of now.
+  // An answer that took too long does not show that the store is reachable now.
   t.false(health.answered(1_000, 4_000));
   t.true(health.answered(4_000, 4_004));
 });
 
-test("store health: another VM's touch ends a loss, a late word of it does not", (t) => {
+test("store health: another VM's contact with the store ends a loss unless it is too old", (t) => {
   const health = StoreHealth.create();
   t.false(health.vouched(0, 1_600));
   t.true(health.isLost);
@@ -24,7 +24,7 @@
   t.true(health.advance(2_600));
 });
 
-test("store health: a paid call that failed stops the others until an answer", (t) => {
+test("store health: a failed billed call suppresses further ones until a call is answered", (t) => {
   const health = StoreHealth.create();
   health.answered(0, 4);
   t.true(health.failed("read the registry", 100));
@@ -35,7 +35,7 @@
   t.false(health.isFailing(125));
 });
 
-test("store health: membership calls that fail stop nothing", (t) => {
+test("store health: failed membership calls suppress no calls", (t) => {
   const health = StoreHealth.create();
   t.true(health.failed(MEMBERSHIP_STEP, 100));
   t.false(health.isFailing(100));
