--- a/src/core/catalog/catalog.ts
+++ b/src/core/catalog/catalog.ts
@@ -1,6 +1,6 @@
 /**
- * The configuration in force with the indexes that requests need. Versions only
- * go up.
+ * The active configuration with the indexes that request routing needs. Its version
+ * only increases.
  *
  * @module
  */
@@ -19,47 +19,46 @@
   #routes = RouteTable.create([]);
   #services = new Map<string, Service>();
   #rotations = new Map<string, WeightedRotation>();
-  /** Lowest priority number among the routes to each service. */
+  /** Lowest priority number, that is, the most urgent, among each service's routes. */
   #topPriorities = new Map<string, number>();
 
   private constructor() {}
 
-  /** A catalog that knows no configuration yet. */
+  /** Creates a catalog without a configuration. */
   static create(): Catalog {
     return new Catalog();
   }
 
-  /** Whether any configuration is in force. */
+  /** Whether a configuration is active. */
   get isKnown(): boolean {
     return this.#configuration !== null;
   }
 
-  /** The configuration in force, or null. */
+  /** The active configuration, or null. */
   get configuration(): Configuration | null {
     return this.#configuration;
   }
 
-  /** Version in force; -1 before the first. */
+  /** Version of the active configuration; -1 before the first. */
   get version(): number {
     return this.#configuration?.version ?? -1;
   }
 
-  /** Number of routes. */
   get routeCount(): number {
     return this.#configuration?.routes.length ?? 0;
   }
 
-  /** Limits of callers, or null before the first configuration. */
+  /** Limits for callers, or null before the first configuration. */
   get limits(): CallerLimits | null {
     return this.#configuration?.limits ?? null;
   }
 
-  /** Services whose keys are divided among servers. */
+  /** Services whose keys are partitioned among their servers. */
   get keyedServices(): Service[] {
     return [...this.#services.values()].filter((each) => each.isKeyed);
   }
 
-  /** Puts `next` in force unless it is as old as the present one or older. */
+  /** Activates `next` if its version is higher; returns whether it is. */
   apply(next: Configuration): boolean {
     if (next.version <= this.version) return false;
     this.#configuration = next;
@@ -70,22 +69,21 @@
     return true;
   }
 
-  /** The route of a request, or undefined. */
+  /** Returns the route of a request, or undefined. */
   route(host: string, target: string): Route | undefined {
     return this.#routes.find(host, target);
   }
 
-  /** A service by name. */
   service(name: string): Service | undefined {
     return this.#services.get(name);
   }
 
-  /** Whether no route to `service` has a more urgent priority than `route`. */
+  /** Whether `route` has the most urgent priority among the routes to `service`. */
   isMostUrgent({ priority }: Route, service: string): boolean {
     return priority <= (this.#topPriorities.get(service) ?? priority);
   }
 
-  /** Chooses the service of the next request on `route`. */
+  /** Chooses the service for the next request on `route`. */
   destination(route: Route): string {
     if (route.destinations.length === 1) return route.destinations[0].service;
     let rotation = this.#rotations.get(route.name);
--- a/src/core/catalog/catalog_test.ts
+++ b/src/core/catalog/catalog_test.ts
@@ -27,7 +27,7 @@
   });
 }
 
-test("catalog: the longest prefix of the host wins", (t) => {
+test("catalog: a request takes the route with the longest path prefix of its host", (t) => {
   const catalog = Catalog.create();
   catalog.apply(configuration(1, ["/", "/a/", "/a/b/"]));
   const find = (target: string, host = "shop.example") =>
@@ -43,7 +43,7 @@
   });
 });
 
-test("catalog: a version that is not newer changes nothing", (t) => {
+test("catalog: a configuration with the same or a lower version is ignored", (t) => {
   const catalog = Catalog.create();
   t.true(catalog.apply(configuration(5, ["/new/"])));
   t.false(catalog.apply(configuration(4, ["/old/"])));
@@ -52,7 +52,7 @@
   t.is(catalog.route("shop.example", "/old/x"), undefined);
 });
 
-test("rotation: every run of requests is divided by weight", (t) => {
+test("rotation: every sequence of requests is divided by weight", (t) => {
   const rotation = WeightedRotation.create([
     { service: "a", weight: 90 },
     { service: "b", weight: 10 },
--- a/src/core/catalog/configuration.ts
+++ b/src/core/catalog/configuration.ts
@@ -1,6 +1,6 @@
 /**
- * The configuration that is in force: routes, services and limits of callers.
- * Every source of configuration ends in these types. Durations are
+ * Schemas of the active configuration: routes, services and limits for callers.
+ * Configuration from every source is converted to these types. Durations are
  * milliseconds.
  *
  * @module
@@ -10,51 +10,52 @@
 const duration = z.number().nonnegative();
 const name = z.string().min(1);
 
-/** One service that a route leads to, and its share of the requests. */
+/** A service that a route sends requests to, and its share of them. */
 export const destinationSchema = z.object({
   service: name,
-  /** Share relative to the other destinations of the route. */
+  /** Share of the requests, relative to the route's other destinations. */
   weight: z.number().nonnegative(),
 });
 
 /** See {@linkcode destinationSchema}. */
 export type Destination = z.infer<typeof destinationSchema>;
 
-/** Requests of one host whose path begins with a prefix. */
+/** A rule for requests to one host whose path begins with a prefix. */
 export const routeSchema = z.object({
   name,
   host: name,
   /** Begins and ends with a slash. */
   pathPrefix: z.string().startsWith("/").endsWith("/"),
-  /** Whether a request may run more than once. */
+  /** Whether a request may be run more than once. */
   isIdempotent: z.boolean(),
   destinations: z.array(destinationSchema).min(1),
-  /** Longest time that a caller is kept waiting. */
+  /** Maximum time until a caller receives a response. */
   timeout: duration,
-  /** Time within which an answer is worth most to its caller. */
+  /** Time within which callers should receive a response. */
   targetLatency: duration,
-  /** Servers to which one request may be sent. */
+  /** Maximum number of servers that one request is sent to. */
   maximumAttempts: z.number().int().positive(),
-  /** Rank among routes; 0 comes first. */
+  /** Priority among routes; 0 is the most urgent. */
   priority: z.number().int().nonnegative(),
 });
 
 /** See {@linkcode routeSchema}. */
 export type Route = z.infer<typeof routeSchema>;
 
-/** A group of interchangeable backend servers, or one divided by key. */
+/** A group of backend servers that are interchangeable or own keys exclusively. */
 export const serviceSchema = z.object({
   name,
-  /** Connections that one server accepts from all callers together. */
+  /** Maximum connections that one server accepts from all callers combined. */
   maximumConnections: z.number().int().positive(),
-  /** Whether each key belongs to one server. */
+  /** Whether each key is owned by exactly one server. */
   isKeyed: z.boolean(),
-  /** How servers begin that have just started; without it they bear full load from
-   * the start on. */
+  /** Warm-up of servers that have just started; if left out, they take the full load
+   * from the start. */
   warmUp: z.object({
-    /** Time for which they stay cold. */
+    /** Time for which a server counts as cold after its start. */
     duration,
-    /** Requests that a cold one bears in a second, from all callers together. */
+    /** Maximum requests per second that a cold server can run, from all callers
+     * combined. */
     requestsPerSecond: z.number().positive(),
   }).optional(),
 });
@@ -62,7 +63,7 @@
 /** See {@linkcode serviceSchema}. */
 export type Service = z.infer<typeof serviceSchema>;
 
-/** What a caller may send, and how long it may take or stay idle. */
+/** Limits on the size of callers' requests, and timeouts for slow or idle callers. */
 export const callerLimitsSchema = z.object({
   maximumHeaderBytes: z.number().int().positive(),
   maximumBodyBytes: z.number().int().nonnegative(),
@@ -73,9 +74,9 @@
 /** See {@linkcode callerLimitsSchema}. */
 export type CallerLimits = z.infer<typeof callerLimitsSchema>;
 
-/** One version of the configuration, whole. */
+/** A complete configuration of one version. */
 export const configurationSchema = z.object({
-  /** Grows with each accepted version, in uneven steps. */
+  /** Increases with each accepted version, not always by 1. */
   version: z.number().int().nonnegative(),
   routes: z.array(routeSchema),
   services: z.array(serviceSchema),
--- a/src/core/catalog/route_table.ts
+++ b/src/core/catalog/route_table.ts
@@ -1,13 +1,13 @@
 /**
- * Finds the route of a request: the longest path prefix of its host.
+ * Finds the route of a request: that with the longest path prefix for its host.
  *
  * @module
  */
 import type { Route } from "./configuration.ts";
 
 /**
- * Routes by host and path prefix. A look-up costs one map access for each slash
- * of the path, whatever the number of routes.
+ * Routes by host and path prefix. A lookup takes one map access for each slash of the
+ * path, regardless of the number of routes.
  *
  * ```ts
  * RouteTable.create(routes).find("shop.example", "/orders/7?full=1");
@@ -25,12 +25,11 @@
     }
   }
 
-  /** A table of these routes. */
   static create(routes: readonly Route[]): RouteTable {
     return new RouteTable(routes);
   }
 
-  /** The route of a request target, or undefined when there is none. */
+  /** Returns the route of a request target, or undefined if there is none. */
   find(host: string, target: string): Route | undefined {
     const prefixes = this.#hosts.get(host.toLowerCase());
     if (prefixes === undefined) return undefined;
--- a/src/core/catalog/weighted_rotation.ts
+++ b/src/core/catalog/weighted_rotation.ts
@@ -6,9 +6,9 @@
 import type { Destination } from "./configuration.ts";
 
 /**
- * Smooth weighted round robin: any run of requests is divided by weight to
- * within one request for each destination, so shares hold over short spans too.
- * A destination that is short of capacity keeps its share.
+ * Smooth weighted round robin: any sequence of requests is divided by weight to within
+ * one request per destination, so the shares hold over short periods too. A destination
+ * without free capacity keeps its share.
  */
 export class WeightedRotation {
   readonly #credits: number[];
@@ -19,12 +19,12 @@
     this.#total = destinations.reduce((sum, each) => sum + each.weight, 0);
   }
 
-  /** A rotation that begins with the heaviest destination. */
+  /** Creates a rotation that begins with the destination of the highest weight. */
   static create(destinations: readonly Destination[]): WeightedRotation {
     return new WeightedRotation(destinations);
   }
 
-  /** The service of the next request. */
+  /** Returns the service for the next request. */
   next(): string {
     let best = 0;
     for (let i = 0; i < this.destinations.length; i++) {
--- a/src/core/declaration/check.ts
+++ b/src/core/declaration/check.ts
@@ -1,47 +1,47 @@
 /**
- * Rules of a declaration that span several of its parts and that a schema of
- * one part cannot express.
+ * Checks the rules of a declaration that span several documents, which the schema of
+ * one document cannot express.
  *
  * @module
  */
 import type { Declaration, DeclaredRoute } from "./document.ts";
 
-/** One fault of a declaration: which document, where in it, and what. */
-export interface Fault {
-  /** `base` or the name of an overlay's site. */
+/** An error in a declaration. */
+export interface Issue {
+  /** `base`, or the site of an overlay. */
   document: string;
-  /** Path of the faulty value within the document. */
+  /** Path of the invalid value within the document. */
   path: (string | number)[];
   /** What was expected and what was found. */
   message: string;
 }
 
-/** All faults that span documents; empty when the declaration is sound. */
-export function checkDeclaration({ base, overlays }: Declaration): Fault[] {
+/** Returns all errors that span documents; none if the declaration is valid. */
+export function checkDeclaration({ base, overlays }: Declaration): Issue[] {
   const services = Object.keys(base.services);
-  const faults: Fault[] = [];
+  const issues: Issue[] = [];
   for (const [name, route] of Object.entries(base.routes)) {
-    faults.push(...checkTarget("base", name, route.to, services));
+    issues.push(...checkTarget("base", name, route.to, services));
   }
   const sites = new Set<string>();
   for (const overlay of overlays) {
     const { site } = overlay;
     if (sites.has(site)) {
       const message = `expected one overlay per site, found a second '${site}'`;
-      faults.push({ document: site, path: ["site"], message });
+      issues.push({ document: site, path: ["site"], message });
     }
     sites.add(site);
-    faults.push(
+    issues.push(
       ...checkNames(site, "services", overlay.services, services),
       ...checkNames(site, "routes", overlay.routes, Object.keys(base.routes)),
     );
     for (const [name, { to }] of Object.entries(overlay.routes)) {
       if (to !== undefined) {
-        faults.push(...checkTarget(site, name, to, services));
+        issues.push(...checkTarget(site, name, to, services));
       }
     }
   }
-  return faults;
+  return issues;
 }
 
 function checkNames(
@@ -49,7 +49,7 @@
   part: string,
   overlaid: Record<string, unknown>,
   known: readonly string[],
-): Fault[] {
+): Issue[] {
   return Object.keys(overlaid)
     .filter((name) => !known.includes(name))
     .map((name) => ({
@@ -66,7 +66,7 @@
   route: string,
   to: DeclaredRoute["to"],
   services: readonly string[],
-): Fault[] {
+): Issue[] {
   const targets = typeof to === "string" ? [to] : Object.keys(to);
   return targets
     .filter((target) => !services.includes(target))
--- a/src/core/declaration/document.ts
+++ b/src/core/declaration/document.ts
@@ -1,7 +1,7 @@
 /**
- * What operators declare: one base file and one overlay for each site. Types
- * are inferred from the schemas here; every default stands in a schema and
- * nowhere else. All durations are milliseconds.
+ * Schemas of the declaration that operators write: one base file and one overlay for
+ * each site. Types are inferred from the schemas, and defaults are set in the schemas
+ * only. All durations are milliseconds.
  *
  * @module
  */
@@ -14,7 +14,7 @@
 const milliseconds = z.number().int().positive();
 const count = z.number().int().positive();
 
-/** What callers may send, and how long they may take or stay idle. */
+/** Limits on the size of callers' requests, and timeouts for slow or idle callers. */
 export const limitsSchema = z.strictObject({
   maximumHeaderBytes: count.default(16 * 1024),
   maximumBodyBytes: count.default(64 * 1024 * 1024),
@@ -22,40 +22,40 @@
   idleTimeout: milliseconds.default(15_000),
 });
 
-/** One service as the base file declares it. */
+/** A service in the base file. */
 export const declaredServiceSchema = z.strictObject({
-  /** Whether each key belongs to one server. */
+  /** Whether each key is owned by exactly one server. */
   keyed: z.boolean().default(false),
-  /** Connections that one backend server accepts, over all VMs. */
+  /** Maximum connections that one backend server accepts from all VMs combined. */
   connections: count.default(100),
 });
 
-/** Shares of a route's requests by service. */
+/** Weights by service: each receives its share of a route's requests. */
 const splitSchema = z.record(identifier, z.number().nonnegative());
 
-/** One route as the base file declares it. */
+/** A route in the base file. */
 export const declaredRouteSchema = z.strictObject({
   host: z.string().min(1),
   /** Begins and ends with a slash. */
   path: z.string().startsWith("/").endsWith("/"),
-  /** The service, or several with their shares. */
+  /** The service, or several with their weights. */
   to: z.union([identifier, splitSchema]),
-  /** Whether a request may run more than once. */
+  /** Whether a request may be run more than once. */
   idempotent: z.boolean().default(false),
-  /** Longest time that a caller is kept waiting. */
+  /** Maximum time until a caller receives a response. */
   timeout: milliseconds.default(2_000),
-  /** Time within which an answer is worth most. */
+  /** Time within which callers should receive a response. */
   targetLatency: milliseconds.default(500),
-  /** Servers to which one request may be sent. */
+  /** Maximum number of servers that one request is sent to. */
   attempts: count.default(2),
-  /** Rank; 0 comes first. */
+  /** Priority among routes; 0 is the most urgent. */
   priority: z.number().int().nonnegative().default(1),
 });
 
 /** See {@linkcode declaredRouteSchema}. */
 export type DeclaredRoute = z.infer<typeof declaredRouteSchema>;
 
-/** The base file. */
+/** The base file, which applies to all sites. */
 export const baseSchema = z.strictObject({
   cluster: identifier,
   limits: limitsSchema.prefault({}),
@@ -66,7 +66,7 @@
 /** See {@linkcode baseSchema}. */
 export type Base = z.infer<typeof baseSchema>;
 
-/** The overlay of one site: what differs there. */
+/** The overlay of one site: values that differ from the base file. */
 export const overlaySchema = z.strictObject({
   site: identifier,
   services: z.record(
--- a/src/core/declaration/site.ts
+++ b/src/core/declaration/site.ts
@@ -1,12 +1,12 @@
 /**
- * What one site runs: the base file with the site's overlay laid over it.
+ * Derives the configuration of one site: the base file with the site's overlay applied.
  *
  * @module
  */
 import type { Configuration } from "../catalog/index.ts";
 import type { Declaration, DeclaredRoute } from "./document.ts";
 
-/** The configuration of `site` under a version. */
+/** Returns the configuration of `site` with the given version. */
 export function siteConfiguration(
   { base, overlays }: Declaration,
   site: string,
@@ -42,7 +42,7 @@
   };
 }
 
-/** The fields that have a value. */
+/** Returns the fields whose value is not undefined. */
 function defined<T extends object>(fields: T): Partial<T> {
   const entries = Object.entries(fields).filter(([, value]) =>
     value !== undefined
