--- a/src/core/beliefs.ts
+++ b/src/core/beliefs.ts
@@ -94,8 +94,8 @@
   }
 
   /** Applies evacuated zones that another VM has sent. */
-  evacuationsTold(news: EvacuationNews, now: number): void {
-    this.#applyEvacuation(this.fleet.evacuations.learn(news), now);
+  evacuationsTold(snapshot: EvacuationNews, now: number): void {
+    this.#applyEvacuation(this.fleet.evacuations.learn(snapshot), now);
   }
 
   #applyEvacuation(change: EvacuationChange, now: number): void {
--- a/src/core/holder_change_test.ts
+++ b/src/core/holder_change_test.ts
@@ -2,7 +2,7 @@
  * Guards against repeated changes of the term holder after a new one is announced to
  * many VMs (195). If all connect to it at once, it accepts the connections one after the
  * other, and each VM retries after 1.5 s without an answer. With no answer within 3 s,
- * the VMs of low fitness assume that the holder has failed and stand for election,
+ * the VMs of low fitness assume that the holder has failed and become candidates,
  * although it keeps writing assignments. A term held by a VM of low fitness is short, so
  * the term then passes on every 2 to 3 s, with many calls to the store.
  */
@@ -78,15 +78,15 @@
   t.true(fewTimes.every((time) => time === 0), `${fewTimes}`);
 });
 
-/** Returns when a VM of low fitness stands for election although the announced holder
+/** Returns when a VM of low fitness becomes a candidate although the announced holder
  * is fitter; Infinity if it does not. `versionAt` returns the version of the recorded
  * assignments, which the VM reads every second. */
 function candidacyAt(versionAt: (now: number) => number): number {
   const { step } = createFollower(195, 1);
   let joinedAt = Infinity;
   /** Passes an event to the VM and answers its membership calls. */
-  const deliver = (now: number, occurrence: Occurrence) => {
-    for (const effect of step(now, occurrence)) {
+  const deliver = (now: number, event: Occurrence) => {
+    for (const effect of step(now, event)) {
       if (effect.kind !== "group.join") continue;
       const { group } = effect;
       if (group === "electorate") joinedAt = Math.min(joinedAt, now);
--- a/src/core/store_update_follower_test.ts
+++ b/src/core/store_update_follower_test.ts
@@ -43,10 +43,10 @@
   /** Passes an event to the VM; membership calls succeed if the store is reachable. */
   const deliver = (
     now: number,
-    occurrence: Occurrence,
+    event: Occurrence,
     isStoreReachable: boolean,
   ) => {
-    for (const effect of step(now, occurrence)) {
+    for (const effect of step(now, event)) {
       effects.push({ now, effect });
       if (effect.kind !== "group.join") continue;
       if (!isStoreReachable) {
--- a/test/ownership/ownership_test.ts
+++ b/test/ownership/ownership_test.ts
@@ -168,7 +168,7 @@
 
 // Guards against VMs of low fitness that take the term after a store outage. Without the
 // store no VM has authority, so no heartbeat says that a fit VM is running, and all VMs
-// stand for election when the store returns. With 74 VMs, 8 of them fit, two VMs of low
+// become candidates when the store returns. With 74 VMs, 8 of them fit, two VMs of low
 // fitness held the term in turn after an outage of 8 s; for 5 s, servers rejected four
 // fifths of the keyed requests because the leases on their keys had expired.
 test("after a store outage the term moves to a fit VM directly", (t) => {
@@ -191,10 +191,10 @@
   t.deepEqual(report.violations, []);
   // Holders from the start of the simulation do not count.
   const before = World.play(calm).holders.length;
-  const small = report.holders.slice(before).filter((each) =>
+  const unfit = report.holders.slice(before).filter((each) =>
     Number(each.split("-")[1]) >= fit
   );
-  t.deepEqual(small, []);
+  t.deepEqual(unfit, []);
 });
 
 test("a fit VM that is cut off from the store does not prevent others from taking the term", (t) => {
--- a/test/ownership/world.ts
+++ b/test/ownership/world.ts
@@ -374,11 +374,11 @@
             }),
           holds: (server, address, key) => this.#holds(server, address, key),
           isListening: (server, address) => {
-            const run = this.#runAt(address);
-            return run?.id === server && run.isUp;
+            const found = this.#processAt(address);
+            return found?.id === server && found.isUp;
           },
           isCold: (server) => this.#isCold(server),
-          crash: (address) => this.#loseServer(this.#runAt(address)!),
+          crash: (address) => this.#loseServer(this.#processAt(address)!),
           isSameZone: (vm, server) =>
             this.#zoneOf(vm) === this.#entries.get(server)?.availabilityZone,
         },
@@ -598,30 +598,30 @@
 
   /** Whether a server holds a key now; null if no server listens at the address. */
   #holds(id: string, address: string, key: number): boolean | null {
-    const run = this.#runAt(address);
-    if (run === undefined || !run.isUp) return null;
-    return run.id === id &&
-      run.leases.some((each) =>
+    const found = this.#processAt(address);
+    if (found === undefined || !found.isUp) return null;
+    return found.id === id &&
+      found.leases.some((each) =>
         each.first <= key && key <= each.last && each.until > this.#time.now
       );
   }
 
   /** Passes an event to a VM; a frozen VM receives it once it runs again. */
-  #handle(vm: Vm, occurrence: Occurrence): void {
+  #handle(vm: Vm, event: Occurrence): void {
     if (!vm.isUp) return;
     const { now } = this.#time;
     if (vm.frozenUntil > now) {
       const run = vm.run;
-      const isOwn = occurrence.kind === "timer";
+      const isOwn = event.kind === "timer";
       const delay = isOwn ? 0 : vm.resendDelay;
       this.#time.after(vm.frozenUntil + delay - now, () => {
-        if (vm.run === run) this.#handle(vm, occurrence);
+        if (vm.run === run) this.#handle(vm, event);
       });
       return;
     }
     const effects = [
       ...this.#detectJumps(vm),
-      ...vm.entry.step({ ...occurrence, now: vm.clock.now() }),
+      ...vm.entry.step({ ...event, now: vm.clock.now() }),
     ];
     this.#performSteps(vm, [effects], 0);
   }
@@ -765,7 +765,7 @@
         const { server, address } = effect;
         const { run } = vm;
         return this.#time.after(2 * ONE_WAY_DELAY, () => {
-          const isRefused = !this.#runAt(address)?.isUp;
+          const isRefused = !this.#processAt(address)?.isUp;
           if (vm.run !== run) return;
           this.#handle(vm, { kind: "server.checked", server, isRefused });
         });
@@ -850,9 +850,9 @@
     const isDone = this.#reachesStore(vm);
     const isAnswered = isDone && !this.#isActive("store.loses_answers");
     const reply = (value: T | null) => {
-      const occurrence = answer(value, sentAt);
+      const event = answer(value, sentAt);
       if (value !== null) this.#handle(vm, { kind: "store.answered", sentAt });
-      if (occurrence !== null) this.#handle(vm, occurrence);
+      if (event !== null) this.#handle(vm, event);
     };
     this.#restartPoll(vm, isAnswered);
     const vmRun = vm.run;
@@ -867,9 +867,9 @@
 
   /** Restarts the long polls of a VM once its calls succeed again after a failure. */
   #restartPoll(vm: Vm, isAnswered: boolean): void {
-    const isBack = isAnswered && vm.isStoreFailing;
+    const hasRecovered = isAnswered && vm.isStoreFailing;
     vm.isStoreFailing = !isAnswered;
-    if (isBack) this.#restartFeeds(vm);
+    if (hasRecovered) this.#restartFeeds(vm);
   }
 
   #restartFeeds(vm: Vm): void {
@@ -877,12 +877,12 @@
     if (vm.isFollowing) this.#readConfiguration(vm);
   }
 
-  #sendPeer(vm: Vm, address: string, occurrence: Occurrence): void {
+  #sendPeer(vm: Vm, address: string, event: Occurrence): void {
     const peer = this.#vms.find((each) => each.address === address);
     const isCut = this.#isActive("vm.cut_from_peers", vm.index) ||
       this.#isActive("vm.cut_from_peers", peer?.index);
     if (peer === undefined || isCut) return;
-    this.#time.after(ONE_WAY_DELAY, () => this.#handle(peer, occurrence));
+    this.#time.after(ONE_WAY_DELAY, () => this.#handle(peer, event));
   }
 
   /** Counts an order of a VM whose authority has ended: its last answered membership
@@ -896,27 +896,27 @@
 
   #sendOrder(vm: Vm, order: GrantOrder | ReleaseOrder): void {
     this.#recordStaleOrder(vm);
-    const isSecluded = vm.index !== 0 &&
+    const isUnreachable = vm.index !== 0 &&
       this.#isActive("server.cut_from_vms", order.address);
-    const isCut = isSecluded ||
+    const isCut = isUnreachable ||
       this.#isActive("vm.cut_from_servers", vm.index);
     const sentAt = this.#time.now;
     const run = vm.run;
     const end = (outcome: OrderOutcome | null, delay: number) =>
       this.#time.after(delay, () => {
         if (vm.run !== run) return;
-        const known = outcome ?? { kind: "failed", cause: "no answer" };
+        const reported = outcome ?? { kind: "failed", cause: "no answer" };
         if (outcome === null) vm.connections.delete(order.address);
         this.#handle(vm, {
           kind: "order.ended",
           order: order.order,
-          outcome: known,
+          outcome: reported,
         });
       });
     this.#reuseToken(order);
     if (isCut) return end(null, ORDER_TIMEOUT);
-    const kept = vm.connections.get(order.address);
-    if (kept?.isUp) return this.#transmit(kept, order, end);
+    const connected = vm.connections.get(order.address);
+    if (connected?.isUp) return this.#transmit(connected, order, end);
     const mayConnect = order.mayConnect && vm.orderAge <= MAXIMUM_CONNECT_AGE;
     if (!mayConnect && !this.options.mayAlwaysConnect) {
       return this.#withhold(vm, order);
@@ -925,11 +925,11 @@
       vm.connections.set(order.address, server);
       this.#transmit(server, order, end);
     };
-    const server = this.#runAt(order.address);
+    const server = this.#processAt(order.address);
     if (server?.isUp) return connect(server);
     const wait = (order.order * 37) % CONNECT_TIMEOUT;
     this.#time.after(wait, () => {
-      const next = this.#runAt(order.address);
+      const next = this.#processAt(order.address);
       if (next?.isUp) return connect(next);
       end(null, sentAt + ORDER_TIMEOUT - this.#time.now);
     });
@@ -1013,7 +1013,7 @@
   }
 
   /** Returns the latest server process at an address, whether it has ended or not. */
-  #runAt(address: string): ModelServer | undefined {
+  #processAt(address: string): ModelServer | undefined {
     return this.#servers.findLast((each) => each.address === address);
   }
 
@@ -1108,7 +1108,7 @@
     const { kind, duration } = fault;
     const vm = this.#vms[fault.target % this.#vms.length];
     const { address } = this.#servers[fault.target % this.#servers.length];
-    const server = this.#runAt(address)!;
+    const server = this.#processAt(address)!;
     const name = this.#faultName(kind, vm, server);
     this.#activeUntil.set(name, this.#time.now + duration);
     switch (kind) {
@@ -1181,7 +1181,7 @@
     this.#report.load?.serverLost(server.id);
     this.#time.after(ENTRY_LIFETIME, () => this.#deregister(server));
     this.#time.after(RETURN_TIME, () => {
-      if (this.#runAt(server.address) !== server) return;
+      if (this.#processAt(server.address) !== server) return;
       this.#replacementCount += 1;
       const id = `run-${this.#replacementCount}`;
       const { now } = this.#time;
@@ -1235,7 +1235,7 @@
   #replace(server: ModelServer, id: string, duration: number): void {
     server.isUp = false;
     this.#time.after(duration % MAXIMUM_DOWNTIME, () => {
-      const former = this.#runAt(server.address)!;
+      const former = this.#processAt(server.address)!;
       former.isUp = false;
       if (former !== server) {
         this.#time.after(ENTRY_LIFETIME, () => this.#deregister(former));
@@ -1272,8 +1272,8 @@
   }
 
   #isCold(id: string): boolean {
-    const run = this.#servers.findLast((each) => each.id === id);
-    return run !== undefined && this.#warmUpLeft(run.startedAt) > 0;
+    const found = this.#servers.findLast((each) => each.id === id);
+    return found !== undefined && this.#warmUpLeft(found.startedAt) > 0;
   }
 
   /** Removes the entry of a process unless a later one has the same id. */
