--- a/src/runtime/backend_pool.ts
+++ b/src/runtime/backend_pool.ts
@@ -1,10 +1,10 @@
 /**
- * Sends requests to backend servers over kept connections and takes their
- * answers whole, so that one that is cut short or spoilt can be tried elsewhere
- * and is never passed on.
+ * HTTP client for backend servers. Sends requests over persistent connections
+ * and receives complete responses, so that a truncated or invalid response is
+ * never forwarded and the request can be retried on another server.
  *
- * Uses Node's client, since `undici` takes an answer without a length as whole
- * when its connection is reset.
+ * Uses Node's HTTP client, since `undici` accepts a response without a length
+ * as complete when its connection is reset.
  *
  * @module
  */
@@ -21,17 +21,18 @@
 import { parseAddress } from "../settings/address.ts";
 import type { AnswerFacts, HeaderCodec } from "./header_codec.ts";
 import type { OccurrenceSink } from "./entry_loop.ts";
-import { limitConnecting } from "./http_client.ts";
+import { limitConnectTime } from "./http_client.ts";
 
-/** Time for a connection to be made, in milliseconds; hosts that are down do
- * not answer at all. */
+/** Connect timeout, in milliseconds. Hosts that are down send no reset. */
 const CONNECT_TIMEOUT = 300;
-/** Longest time for which an idle connection is kept, in milliseconds; less
- * where the server names a shorter one. */
+/**
+ * Maximum time for which an idle connection is kept, in milliseconds. A shorter
+ * timeout that the server sends takes precedence.
+ */
 const IDLE_TIMEOUT = 8_000;
-/** Statuses below this are none (RFC 9110, 15). */
-const LOWEST_STATUS = 100;
-/** Headers that concern one connection only (RFC 9110, 7.6.1). */
+/** Lower values are not valid status codes (RFC 9110, 15). */
+const MINIMUM_STATUS = 100;
+/** Headers that apply to a single connection only (RFC 9110, 7.6.1). */
 const HOP_BY_HOP = new Set([
   "connection",
   "keep-alive",
@@ -42,36 +43,39 @@
   "upgrade",
 ]);
 
-/** Error of a connection to an address at which nothing listens. */
-const REFUSED = "ECONNREFUSED";
+/** Error code of a connection to an address at which no process listens. */
+const CONNECTION_REFUSED = "ECONNREFUSED";
 
-/** A caller's request as it is sent on. */
+/** A caller's request as it is forwarded. */
 export interface OutgoingRequest {
   id: string;
   method: string;
   target: string;
-  /** Names and values in turn, as the caller sent them. */
+  /** Alternating names and values, as the caller sent them. */
   headers: readonly string[];
   body: Buffer;
 }
 
-/** An answer of a server, whole. */
-export interface TakenAnswer {
+/** A complete response of a backend server. */
+export interface BackendResponse {
   status: number;
   statusText: string;
-  /** Names and values in turn. */
+  /** Alternating names and values. */
   headers: string[];
   body: Buffer;
 }
 
 /**
- * Keeps connections, and drops one on which bytes arrive while no answer is
- * due: they belong to no request.
+ * Keeps connections alive, and destroys an idle connection on which bytes
+ * arrive, since they belong to no request.
  */
-class WatchfulAgent extends Agent {
+class BackendAgent extends Agent {
   #isRetired = false;
 
-  /** Drops idle connections, and those in use once their answer is whole. */
+  /**
+   * Destroys idle connections now, and connections in use after their response
+   * is complete.
+   */
   retire(): void {
     this.#isRetired = true;
     for (const sockets of Object.values(this.freeSockets)) {
@@ -81,33 +85,34 @@
 
   override keepSocketAlive(socket: Socket): boolean {
     if (this.#isRetired) return false;
-    // Node's types leave out that it says whether the socket is kept.
+    // Node's types omit the returned boolean, which tells whether the socket is
+    // kept.
     const isKept = super.keepSocketAlive(socket) as unknown as boolean;
-    if (isKept) socket.on("data", dropSocket);
+    if (isKept) socket.on("data", destroySocket);
     return isKept;
   }
 
   override reuseSocket(socket: Socket, request: ClientRequest): void {
-    socket.off("data", dropSocket);
+    socket.off("data", destroySocket);
     super.reuseSocket(socket, request);
   }
 }
 
-function dropSocket(this: Socket): void {
+function destroySocket(this: Socket): void {
   this.destroy();
 }
 
 interface RunningAttempt {
   request: ClientRequest;
-  /** Set once the answer is whole. */
-  answer: TakenAnswer | null;
-  /** Whether the answer has ended and the end is being checked. */
-  isChecked: boolean;
+  /** Set once the response is complete. */
+  response: BackendResponse | null;
+  /** Whether the response has ended and the check for a reset is pending. */
+  isVerifying: boolean;
 }
 
 /** See the module's comment. */
 export class BackendPool {
-  readonly #agents = new Map<string, WatchfulAgent>();
+  readonly #agents = new Map<string, BackendAgent>();
   readonly #attempts = new Map<number, RunningAttempt>();
 
   private constructor(
@@ -115,18 +120,21 @@
     private readonly sink: OccurrenceSink,
   ) {}
 
-  /** A pool without connections. */
+  /** Creates a pool without connections. */
   static create(codec: HeaderCodec, sink: OccurrenceSink): BackendPool {
     return new BackendPool(codec, sink);
   }
 
-  /** Sends a request; ends with one `attempt.ended`, unless it is cancelled. */
+  /**
+   * Sends a request. Pushes exactly one `attempt.ended`, unless the attempt is
+   * cancelled.
+   */
   send(start: AttemptStart, outgoing: OutgoingRequest): void {
     try {
-      this.#open(start, outgoing);
+      this.#startRequest(start, outgoing);
     } catch (error) {
-      // Node throws for what it cannot send, as an entry of the registry may say
-      // anything; a throw from here would end the process.
+      // Node throws on what it cannot send, and entries of the registry may
+      // contain any text. An exception from here would end the process.
       this.sink.push({
         kind: "attempt.ended",
         attempt: start.attempt,
@@ -135,34 +143,38 @@
     }
   }
 
-  #open(start: AttemptStart, outgoing: OutgoingRequest): void {
+  #startRequest(start: AttemptStart, outgoing: OutgoingRequest): void {
     const separator = start.address.lastIndexOf(":");
     const request = httpRequest({
       host: start.address.slice(0, separator),
       port: Number(start.address.slice(separator + 1)),
       method: outgoing.method,
       path: outgoing.target,
-      headers: this.#headers(start, outgoing) as unknown as Record<
+      headers: this.#serverHeaders(start, outgoing) as unknown as Record<
         string,
         string
       >,
-      agent: this.#agent(start.server),
+      agent: this.#agentOf(start.server),
       setHost: false,
     });
-    const running: RunningAttempt = { request, answer: null, isChecked: false };
+    const running: RunningAttempt = {
+      request,
+      response: null,
+      isVerifying: false,
+    };
     this.#attempts.set(start.attempt, running);
-    this.#watch(start.attempt, running, outgoing);
+    this.#addListeners(start.attempt, running, outgoing);
     request.end(outgoing.body.length > 0 ? outgoing.body : undefined);
   }
 
-  /** Looks whether anything listens at a server's address. */
-  check({ server, address }: ServerCheck): void {
+  /** Checks whether a process listens at a server's address. */
+  probe({ server, address }: ServerCheck): void {
     const { host, port } = parseAddress(address);
     const socket = connect({ host, port });
     socket.setTimeout(CONNECT_TIMEOUT);
     const end = (isRefused: boolean) => {
       socket.removeAllListeners();
-      // What it still has to say no longer matters.
+      // Ignores errors after the result is known.
       socket.on("error", () => {});
       socket.destroy();
       this.sink.push({ kind: "server.checked", server, isRefused });
@@ -171,11 +183,11 @@
     socket.once("timeout", () => end(false));
     socket.once(
       "error",
-      (error: NodeJS.ErrnoException) => end(error.code === REFUSED),
+      (error: NodeJS.ErrnoException) => end(error.code === CONNECTION_REFUSED),
     );
   }
 
-  /** Gives an attempt up and resets its connection. */
+  /** Cancels an attempt and resets its connection. */
   cancel(attempt: number): void {
     const running = this.#attempts.get(attempt);
     if (running === undefined) return;
@@ -183,34 +195,34 @@
     running.request.destroy();
   }
 
-  /** Takes the answer of an attempt that has ended. */
-  take(attempt: number): TakenAnswer | null {
-    const answer = this.#attempts.get(attempt)?.answer ?? null;
+  /** Returns and removes the response of a completed attempt. */
+  takeResponse(attempt: number): BackendResponse | null {
+    const response = this.#attempts.get(attempt)?.response ?? null;
     this.#attempts.delete(attempt);
-    return answer;
+    return response;
   }
 
   /**
-   * Forgets the connections of a server that is gone, or whose run is another
-   * now. Requests that it has are left there: the word of it comes a heartbeat
-   * late, so the new run may have them already, and a server that leaves ends
-   * its work after its entry is removed.
+   * Closes the connections of a server that was removed or restarted. Requests
+   * in flight continue: the registry update arrives a heartbeat late, so they
+   * may already run in the new process, and a draining server completes its
+   * work after its entry is removed.
    */
-  forget(server: string): void {
+  closeConnections(server: string): void {
     this.#agents.get(server)?.retire();
     this.#agents.delete(server);
   }
 
-  /** Ends all connections. */
+  /** Closes all connections. */
   close(): void {
     for (const agent of this.#agents.values()) agent.destroy();
     for (const { request } of this.#attempts.values()) request.destroy();
   }
 
-  #agent(server: string): WatchfulAgent {
+  #agentOf(server: string): BackendAgent {
     let agent = this.#agents.get(server);
     if (agent === undefined) {
-      agent = new WatchfulAgent({
+      agent = new BackendAgent({
         keepAlive: true,
         scheduling: "lifo",
         timeout: IDLE_TIMEOUT,
@@ -220,7 +232,7 @@
     return agent;
   }
 
-  #headers(start: AttemptStart, outgoing: OutgoingRequest): string[] {
+  #serverHeaders(start: AttemptStart, outgoing: OutgoingRequest): string[] {
     const headers: string[] = [];
     for (let i = 0; i < outgoing.headers.length; i += 2) {
       const name = outgoing.headers[i].toLowerCase();
@@ -237,14 +249,14 @@
     return headers;
   }
 
-  #watch(
+  #addListeners(
     attempt: number,
     running: RunningAttempt,
     outgoing: OutgoingRequest,
   ): void {
     const { request } = running;
     let isConnected = false;
-    limitConnecting(request, CONNECT_TIMEOUT);
+    limitConnectTime(request, CONNECT_TIMEOUT);
     request.once("socket", (socket) => {
       if (socket.connecting) socket.once("connect", () => isConnected = true);
       else isConnected = true;
@@ -252,71 +264,82 @@
     request.on(
       "error",
       (error: NodeJS.ErrnoException) =>
-        this.#fail(
+        this.#failAttempt(
           attempt,
           running,
           isConnected,
           errorText(error),
-          error.code === REFUSED,
+          error.code === CONNECTION_REFUSED,
         ),
     );
     request.once(
       "response",
-      (response) => this.#receive(attempt, running, response, outgoing),
+      (response) => this.#receiveResponse(attempt, running, response, outgoing),
     );
     request.once(
       "close",
-      () => this.#fail(attempt, running, isConnected, "connection closed"),
+      () =>
+        this.#failAttempt(attempt, running, isConnected, "connection closed"),
     );
   }
 
-  #receive(
+  #receiveResponse(
     attempt: number,
     running: RunningAttempt,
     response: IncomingMessage,
     outgoing: OutgoingRequest,
   ): void {
     const status = response.statusCode ?? 0;
-    if (status < LOWEST_STATUS) {
-      return this.#fail(attempt, running, true, `status ${status}`);
+    if (status < MINIMUM_STATUS) {
+      return this.#failAttempt(attempt, running, true, `status ${status}`);
     }
-    const facts = this.codec.readAnswer(status, response.headers, outgoing.id);
+    const metadata = this.codec.readAnswer(
+      status,
+      response.headers,
+      outgoing.id,
+    );
     const chunks: Buffer[] = [];
     response.on("data", (chunk: Buffer) => chunks.push(chunk));
     response.on(
       "error",
-      (error) => this.#fail(attempt, running, true, errorText(error)),
+      (error) => this.#failAttempt(attempt, running, true, errorText(error)),
     );
     const succeed = () => {
-      if (!facts.isOwnExchange) running.request.destroy();
-      this.#succeed(attempt, running, response, facts, Buffer.concat(chunks));
+      if (!metadata.isOwnExchange) running.request.destroy();
+      this.#completeAttempt(
+        attempt,
+        running,
+        response,
+        metadata,
+        Buffer.concat(chunks),
+      );
     };
-    const reset = endsWithConnection(response)
-      ? findReset(response.socket)
+    const reset = isDelimitedByClose(response)
+      ? detectReset(response.socket)
       : null;
     response.once("end", () => {
       if (!response.complete) return;
       if (reset === null) return succeed();
-      running.isChecked = true;
+      running.isVerifying = true;
       void reset.then((error) => {
         if (error === null) return succeed();
-        running.isChecked = false;
-        this.#fail(attempt, running, true, errorText(error));
+        running.isVerifying = false;
+        this.#failAttempt(attempt, running, true, errorText(error));
       });
     });
   }
 
-  #succeed(
+  #completeAttempt(
     attempt: number,
     running: RunningAttempt,
     response: IncomingMessage,
-    facts: AnswerFacts,
+    metadata: AnswerFacts,
     body: Buffer,
   ): void {
     if (this.#attempts.get(attempt) !== running) return;
-    running.answer = {
+    running.response = {
       status: response.statusCode ?? 0,
-      statusText: printable(response.statusMessage),
+      statusText: validStatusText(response.statusMessage),
       headers: withoutHopByHop(response.rawHeaders),
       body,
     };
@@ -325,20 +348,20 @@
       attempt,
       outcome: {
         kind: "answered",
-        status: running.answer.status,
-        isGenuine: facts.isGenuine,
-        isNotRun: facts.isNotRun && facts.isOwnExchange,
-        server: facts.server,
-        load: facts.load,
-        rateLimit: facts.rateLimit,
+        status: running.response.status,
+        isGenuine: metadata.isGenuine,
+        isNotRun: metadata.isNotRun && metadata.isOwnExchange,
+        server: metadata.server,
+        load: metadata.load,
+        rateLimit: metadata.rateLimit,
       },
     });
-    // By then the core has had its say; an answer that it did not take is of
-    // no use to anybody.
+    // The core has processed the occurrence by now; a response that it has not
+    // taken is not needed.
     setImmediate(() => this.#attempts.delete(attempt));
   }
 
-  #fail(
+  #failAttempt(
     attempt: number,
     running: RunningAttempt,
     wasSent: boolean,
@@ -346,7 +369,7 @@
     isRefused = false,
   ): void {
     const isCurrent = this.#attempts.get(attempt) === running;
-    if (!isCurrent || running.answer !== null || running.isChecked) return;
+    if (!isCurrent || running.response !== null || running.isVerifying) return;
     this.#attempts.delete(attempt);
     running.request.destroy();
     this.sink.push({
@@ -357,18 +380,18 @@
   }
 }
 
-/** Whether nothing but the end of its connection ends an answer. */
-function endsWithConnection({ headers }: IncomingMessage): boolean {
+/** Whether only the close of the connection marks the end of a response. */
+function isDelimitedByClose({ headers }: IncomingMessage): boolean {
   return headers["content-length"] === undefined &&
     headers["transfer-encoding"] === undefined;
 }
 
 /**
- * The error of a connection whose end is about to be read, or null when its
- * other side closed it in order. A reset that arrives together with the last
- * bytes is read as an orderly end; a write of no bytes then still fails.
+ * The error of a connection whose end is about to be read, or null if the
+ * server closed it in order. A reset that arrives together with the last bytes
+ * is read as an orderly end, but writing zero bytes then still fails.
  */
-function findReset(socket: Socket): Promise<Error | null> {
+function detectReset(socket: Socket): Promise<Error | null> {
   return new Promise((resolve) => {
     socket.prependOnceListener("end", () => {
       socket.write("", (error) => resolve(error ?? null));
@@ -376,8 +399,8 @@
   });
 }
 
-/** A status text as Node sends it on, or none. */
-function printable(text = ""): string {
+/** The status text if Node accepts it in a response, else an empty string. */
+function validStatusText(text = ""): string {
   return /^[\t\x20-\x7e\x80-\xff]*$/.test(text) ? text : "";
 }
 
--- a/src/runtime/backend_pool_test.ts
+++ b/src/runtime/backend_pool_test.ts
@@ -113,7 +113,7 @@
   while (held.length === 0) await delay(1);
   const secondEnd = send("a");
   t.is(outcomeKind(await firstEnd), "genuine");
-  pool.forget("server-1");
+  pool.closeConnections("server-1");
   held[0].write(head("slow", ["Content-Length: 2"]) + "ok");
   t.is(outcomeKind(await secondEnd), "genuine");
   t.is(connections, 2);
--- a/src/runtime/caller_connection.ts
+++ b/src/runtime/caller_connection.ts
@@ -1,6 +1,6 @@
 /**
- * One caller's connection: which answers are still due on it, in the order of
- * their requests, and its end, which comes behind all of them.
+ * One caller's connection: the pending responses in the order of their
+ * requests, and the graceful close after the last of them.
  *
  * @module
  */
@@ -8,125 +8,144 @@
 import type { Socket } from "node:net";
 import { monotonicNow } from "./monotonic_clock.ts";
 
-/** Longest time for which a connection that has ended on this side is read on,
- * in milliseconds. Bytes that reach a closed socket make the system throw away
- * what it has not sent yet: a caller that goes on sending would lose its last
- * answer. */
-const LINGER_TIME = 2_000;
+/**
+ * Maximum time for which a half-closed connection is still read, in
+ * milliseconds. When bytes reach a closed socket, the operating system discards
+ * the data that it has not sent yet, so a caller that keeps sending would lose
+ * its last response.
+ */
+const LINGER_TIMEOUT = 2_000;
 
-/** An answer that the system has not taken whole. */
-interface DueAnswer {
+/** A response that the operating system has not accepted completely. */
+interface PendingResponse {
   exchange: number;
   response: ServerResponse;
-  /** Called when it can no longer be sent. */
-  lost(): void;
+  /** Called when the response can no longer be sent. */
+  onLost(): void;
 }
 
 /** See the module's comment. */
 export class CallerConnection {
-  readonly #due: DueAnswer[] = [];
+  readonly #pending: PendingResponse[] = [];
   #isEnding = false;
-  #isLingering = false;
-  /** What is said behind the last answer, if anything. */
-  #parting = "";
-  /** When an answer was taken whole by the system last. */
-  #sentAt = -Infinity;
+  #isClosing = false;
+  /** Bytes to send after the last response; empty if none. */
+  #finalBytes = "";
+  /** When the operating system last accepted a complete response. */
+  #lastSentAt = -Infinity;
 
   private constructor(
     readonly socket: Socket,
-    private readonly ended: () => void,
+    private readonly onClosed: () => void,
   ) {
-    // Node ends the other side as well, behind what it has been given: no answer
-    // that is given from here on can be sent.
-    socket.once("end", () => this.#left());
-    socket.once("close", () => this.#closed());
-    // Node calls this behind an answer that ends its connection.
-    socket.destroySoon = () => this.#linger("");
+    // Node also ends the writable side, after the data written so far. No later
+    // response can be sent.
+    socket.once("end", () => this.#callerEnded());
+    socket.once("close", () => this.#socketClosed());
+    // Node calls this after a response that closes its connection.
+    socket.destroySoon = () => this.#closeGracefully("");
   }
 
-  /** Calls `ended` when the connection is gone. */
-  static create(socket: Socket, ended: () => void): CallerConnection {
-    return new CallerConnection(socket, ended);
+  /** Wraps `socket`; calls `onClosed` when it has closed. */
+  static create(socket: Socket, onClosed: () => void): CallerConnection {
+    return new CallerConnection(socket, onClosed);
   }
 
-  /** Whether a further request could still be answered. One that is not taken
-   * must not be passed on: its caller sends it again elsewhere. */
-  get takesRequests(): boolean {
+  /**
+   * Whether a response to a further request could be sent. A request that is
+   * not accepted must not be forwarded, since its caller retries it elsewhere.
+   */
+  get acceptsRequests(): boolean {
     return !this.#isEnding;
   }
 
-  /** Answers that are due. */
-  get due(): number {
-    return this.#due.length;
+  /** Number of pending responses. */
+  get pendingCount(): number {
+    return this.#pending.length;
   }
 
-  /** The exchange whose answer is sent last, or null. */
-  get last(): number | null {
-    return this.#due.at(-1)?.exchange ?? null;
+  /** The exchange whose response is sent last, or null if none is pending. */
+  get lastExchange(): number | null {
+    return this.#pending.at(-1)?.exchange ?? null;
   }
 
-  /** Whether something would be cut if the connection closed now. */
+  /** Whether closing the socket now would cut a response. */
   get isBusy(): boolean {
-    return this.#due.length > 0 || this.#isLingering;
+    return this.#pending.length > 0 || this.#isClosing;
   }
 
-  /** A request was taken. Its answer is due behind those before it; `lost` is
-   * called if the connection closes first. */
-  add(exchange: number, response: ServerResponse, lost: () => void): void {
-    this.#due.push({ exchange, response, lost });
-    response.once("close", () => this.#passed(response));
+  /**
+   * Adds a request. Its response is sent after those of earlier requests;
+   * `onLost` is called if the connection closes first.
+   */
+  addRequest(
+    exchange: number,
+    response: ServerResponse,
+    lost: () => void,
+  ): void {
+    this.#pending.push({ exchange, response, onLost: lost });
+    response.once("close", () => this.#responseClosed(response));
   }
 
-  /** Whether nothing is to be sent behind this answer, so that it may end the
-   * connection: in sending order, which need not be the order of giving. */
+  /**
+   * Whether nothing is sent after this response, so that it may close the
+   * connection. This depends on the order in which responses are sent, which
+   * may differ from the order in which they become available.
+   */
   isLast(exchange: number): boolean {
-    return this.last === exchange && this.#parting === "";
+    return this.lastExchange === exchange && this.#finalBytes === "";
   }
 
-  /** Takes no further request; ends once all that is due was sent and, behind
-   * it, `parting`. */
-  end(parting = ""): void {
+  /**
+   * Accepts no further requests, and closes after all pending responses and
+   * `finalBytes` have been sent.
+   */
+  end(finalBytes = ""): void {
     if (this.#isEnding) return;
     this.#isEnding = true;
-    this.#parting = parting;
-    if (this.#due.length > 0) return;
-    const isSettled = monotonicNow() - this.#sentAt > LINGER_TIME;
-    if (parting === "" && isSettled) this.socket.end();
-    else this.#linger(parting);
+    this.#finalBytes = finalBytes;
+    if (this.#pending.length > 0) return;
+    const isPastLinger = monotonicNow() - this.#lastSentAt > LINGER_TIMEOUT;
+    if (finalBytes === "" && isPastLinger) this.socket.end();
+    else this.#closeGracefully(finalBytes);
   }
 
-  /** An answer was sent whole, or its connection is gone. */
-  #passed(response: ServerResponse): void {
-    const index = this.#due.findIndex((each) => each.response === response);
+  /** A response was sent completely, or its connection has closed. */
+  #responseClosed(response: ServerResponse): void {
+    const index = this.#pending.findIndex((each) => each.response === response);
     if (index < 0) return;
-    const [{ lost }] = this.#due.splice(index, 1);
-    this.#sentAt = monotonicNow();
+    const [{ onLost: lost }] = this.#pending.splice(index, 1);
+    this.#lastSentAt = monotonicNow();
     if (!response.writableFinished) lost();
-    if (this.#due.length > 0 || !this.#isEnding) return;
-    this.#linger(this.#parting);
+    if (this.#pending.length > 0 || !this.#isEnding) return;
+    this.#closeGracefully(this.#finalBytes);
   }
 
-  /** Ends this side behind `parting` and waits for the caller to end its own. */
-  #linger(parting: string): void {
-    if (this.#isLingering || this.socket.destroyed) return;
-    this.#isLingering = true;
-    if (!this.socket.writableEnded) this.socket.end(parting);
-    const timer = setTimeout(() => this.socket.destroy(), LINGER_TIME);
+  /**
+   * Ends the writable side after `finalBytes` and waits for the caller to end
+   * its side.
+   */
+  #closeGracefully(finalBytes: string): void {
+    if (this.#isClosing || this.socket.destroyed) return;
+    this.#isClosing = true;
+    if (!this.socket.writableEnded) this.socket.end(finalBytes);
+    const timer = setTimeout(() => this.socket.destroy(), LINGER_TIMEOUT);
     this.socket.once("close", () => clearTimeout(timer));
   }
 
-  #left(): void {
+  #callerEnded(): void {
     this.#isEnding = true;
-    // Node does it too, unless it has handed the connection over as a tunnel.
+    // Node does this as well, unless it has detached the connection for a
+    // tunnel.
     this.socket.end();
-    for (const { lost } of this.#due) lost();
+    for (const { onLost: lost } of this.#pending) lost();
   }
 
-  /** Node does not tell of answers that stand behind one that was cut. */
-  #closed(): void {
+  /** Node emits no event for responses queued behind one that was cut. */
+  #socketClosed(): void {
     this.#isEnding = true;
-    this.#isLingering = false;
-    for (const { lost } of this.#due.splice(0)) lost();
-    this.ended();
+    this.#isClosing = false;
+    for (const { onLost: lost } of this.#pending.splice(0)) lost();
+    this.onClosed();
   }
 }
--- a/src/runtime/caller_server.ts
+++ b/src/runtime/caller_server.ts
@@ -1,6 +1,6 @@
 /**
- * Callers' side: takes requests over HTTP, checks them against the limits, and
- * gives each exactly one final answer.
+ * HTTP server for callers. Receives requests, checks them against the limits,
+ * and sends exactly one final response to each.
  *
  * @module
  */
@@ -16,46 +16,54 @@
 import type { Refusal } from "../core/dispatch/index.ts";
 import { Fingerprint } from "../core/quarantine/index.ts";
 import { CallerConnection } from "./caller_connection.ts";
-import type { OutgoingRequest, TakenAnswer } from "./backend_pool.ts";
+import type { BackendResponse, OutgoingRequest } from "./backend_pool.ts";
 import type { OccurrenceSink } from "./entry_loop.ts";
 import type { HeaderCodec } from "./header_codec.ts";
 import { listenAt } from "./listen.ts";
-import { afterNextRead, type LoopLag } from "./loop_lag.ts";
+import { afterPendingReads, type LoopLag } from "./loop_lag.ts";
 import { monotonicNow } from "./monotonic_clock.ts";
 import { readBody } from "./request_body.ts";
 import {
   BAD_REQUEST,
   BODY_TOO_LARGE,
+  checkHeaders,
   EXPECTATION_FAILED,
-  headerFault,
   isMetExpectation,
-  NO_TUNNEL,
-  PARSER_FAULTS,
-  rawAnswer,
+  PARSER_REJECTIONS,
+  rawResponse,
   READ_TOO_LATE,
-  type RequestFault,
-} from "./request_fault.ts";
+  type RequestRejection,
+  TUNNEL_UNSUPPORTED,
+} from "./request_rejection.ts";
 
-/** Largest headers that are read at all, in bytes; the configured limit is
- * looked at afterwards, since it may change while the server runs. */
-const HEADER_CEILING = 64 * 1024;
-/** How often callers' timeouts are looked at, in milliseconds. */
+/**
+ * Maximum size of the headers that Node's parser accepts, in bytes. The
+ * configured limit is checked afterwards, since it may change while the server
+ * runs.
+ */
+const MAXIMUM_HEADER_SIZE = 64 * 1024;
+/** Interval between checks of the callers' timeouts, in milliseconds. */
 const CHECK_INTERVAL = 1_000;
-/** Time in which a caller must send its whole request, in milliseconds: what
- * it has sent stays in memory so long. */
+/**
+ * Time in which a caller must send its whole request, in milliseconds. The
+ * received part stays in memory for that long.
+ */
 const REQUEST_TIMEOUT = 30_000;
-/** Age up to which a request counts as just read, in milliseconds: the lateness
- * of the loop is known no better, and servers may work half a second for callers
- * that have left. */
-const SHORT_AGE = 150;
-/** Milliseconds in a second, the unit of `Retry-After`. */
+/**
+ * Age up to which a request counts as just received, in milliseconds. The delay
+ * of the event loop is not known more precisely, and servers may work for up to
+ * half a second for callers that have disconnected.
+ */
+const MAXIMUM_FRESH_AGE = 150;
 const SECOND = 1_000;
 
-/** Errors of a connection whose caller has ended it, in the middle of a request
- * or not. */
-const HAS_LEFT = new Set(["ECONNRESET", "HPE_INVALID_EOF_STATE"]);
+/**
+ * Errors of a connection that its caller has closed, in the middle of a request
+ * or between requests.
+ */
+const DISCONNECT_ERRORS = new Set(["ECONNRESET", "HPE_INVALID_EOF_STATE"]);
 
-/** One exchange with a caller. */
+/** One request of a caller and its response. */
 interface Exchange {
   request: IncomingMessage;
   response: ServerResponse;
@@ -64,21 +72,26 @@
   arrivedAt: number;
 }
 
-/** Told of every answer, for metrics. */
-export interface AnswerObserver {
+/** Observes every response, for metrics. */
+export interface ResponseObserver {
   answered(status: number, isOwn: boolean, milliseconds: number): void;
 }
 
-/** What the callers' side has in hand. */
+/** Connections and requests of the server. */
 export interface CallerCounts {
   connections: number;
-  /** Requests without an answer, also those that are still being read. */
+  /**
+   * Requests without a response, including those that are still being received.
+   */
   unanswered: number;
-  /** Answers that the operating system has not taken whole. */
+  /** Responses that the operating system has not accepted completely. */
   unsent: number;
-  /** Requests that were left unread since their connection was ending. */
+  /** Requests that were not read because their connection was closing. */
   notTaken: number;
-  /** Requests that were refused since their time was over when they were read. */
+  /**
+   * Requests that were rejected because their deadline had passed when they
+   * were read.
+   */
   late: number;
 }
 
@@ -88,142 +101,153 @@
   readonly #exchanges = new Map<number, Exchange>();
   readonly #connections = new Map<Duplex, CallerConnection>();
   #limits: CallerLimits | null = null;
-  #count = 0;
-  #notTaken = 0;
-  #late = 0;
+  #exchangeCount = 0;
+  #unreadRequests = 0;
+  #lateRequests = 0;
   #isDraining = false;
   #isClosed = false;
-  #isToldClosed = false;
+  #isClosedReported = false;
 
   private constructor(
     private readonly codec: HeaderCodec,
     private readonly sink: OccurrenceSink,
-    private readonly observer: AnswerObserver,
+    private readonly observer: ResponseObserver,
     private readonly lag: LoopLag,
   ) {
     this.#server = createServer({
-      maxHeaderSize: HEADER_CEILING,
+      maxHeaderSize: MAXIMUM_HEADER_SIZE,
       requestTimeout: REQUEST_TIMEOUT,
       connectionsCheckingInterval: CHECK_INTERVAL,
-      // Node's own answer to a request without a host ends the connection, and
-      // requests behind it would be taken in vain.
+      // Node's own response to a request without a host closes the connection,
+      // and requests pipelined behind it would never be answered.
       requireHostHeader: false,
-    }, (request, response) => this.#take(request, response));
+    }, (request, response) => this.#handleRequest(request, response));
     this.#server.on(
       "checkExpectation",
-      (request, response) => this.#take(request, response),
+      (request, response) => this.#handleRequest(request, response),
     );
     this.#server.on(
       "clientError",
-      (error: NodeJS.ErrnoException, socket) => this.#fault(error, socket),
+      (error: NodeJS.ErrnoException, socket) =>
+        this.#handleClientError(error, socket),
+    );
+    this.#server.on(
+      "connect",
+      (_, socket: Duplex) => this.#rejectTunnel(socket),
     );
-    this.#server.on("connect", (_, socket: Duplex) => this.#tunnel(socket));
-    this.#server.on("connection", (socket: Socket) => this.#connect(socket));
-    // Node's own, which `close` calls, takes a connection for idle whose answer
-    // has just been ended, though another request waits behind it.
+    this.#server.on(
+      "connection",
+      (socket: Socket) => this.#addConnection(socket),
+    );
+    // Node's implementation, which `close` calls, treats a connection as idle
+    // once its response has ended, even if another pipelined request is
+    // waiting.
     this.#server.closeIdleConnections = () => {};
   }
 
-  /** A server that does not listen yet. */
+  /** Creates a server that does not listen yet. */
   static create(
     codec: HeaderCodec,
     sink: OccurrenceSink,
-    observer: AnswerObserver,
+    observer: ResponseObserver,
     lag: LoopLag,
   ): CallerServer {
     return new CallerServer(codec, sink, observer, lag);
   }
 
-  /** Accepts callers. Rejects when the address cannot be had. */
+  /** Accepts callers at `address`. Rejects if it cannot listen there. */
   listen(address: string): Promise<void> {
     return listenAt(this.#server, address);
   }
 
-  /** Holds callers to these limits. */
+  /** Applies these limits to callers. */
   apply(limits: CallerLimits): void {
     this.#limits = limits;
     this.#server.headersTimeout = limits.headerTimeout;
     this.#server.keepAliveTimeout = limits.idleTimeout;
   }
 
-  /** Ends each connection with its next answer. */
+  /** Closes each connection after its next response. */
   drain(): void {
     this.#isDraining = true;
   }
 
   /**
-   * Takes no new connections or requests: idle connections are closed, the
-   * others end with the answers that are due. A caller that always sends the
-   * next request before an answer would otherwise never be let go. When nothing
-   * is due any more, the loop is told that callers are closed.
+   * Accepts no new connections or requests. Idle connections are closed, others
+   * end after their pending responses. Without this, the connection of a caller
+   * that always sends its next request before the response would never end.
+   * When no response is pending, pushes `callers.closed` to the loop.
    */
   close(): void {
     this.#isDraining = true;
     this.#isClosed = true;
     for (const connection of this.#connections.values()) connection.end();
     this.#server.close();
-    this.#tellClosed();
+    this.#reportClosed();
   }
 
-  /** What is in hand now. */
+  /** Current counts of connections and requests. */
   get counts(): CallerCounts {
-    let due = 0;
-    for (const connection of this.#connections.values()) due += connection.due;
+    let pending = 0;
+    for (const each of this.#connections.values()) pending += each.pendingCount;
     const unanswered = this.#exchanges.size;
     return {
       connections: this.#connections.size,
       unanswered,
-      unsent: due - unanswered,
-      notTaken: this.#notTaken,
-      late: this.#late,
+      unsent: pending - unanswered,
+      notTaken: this.#unreadRequests,
+      late: this.#lateRequests,
     };
   }
 
-  /** Closes everything. */
+  /** Closes the server and destroys all connections. */
   destroy(): void {
     this.#server.close();
     for (const { socket } of this.#connections.values()) socket.destroy();
   }
 
-  #connect(socket: Socket): void {
+  #addConnection(socket: Socket): void {
     const connection = CallerConnection.create(socket, () => {
       this.#connections.delete(socket);
-      this.#tellClosed();
+      this.#reportClosed();
     });
     this.#connections.set(socket, connection);
     if (this.#isClosed) connection.end();
   }
 
-  /** The process may stop once nothing that was taken or given would be cut. */
-  #tellClosed(): void {
-    if (!this.#isClosed || this.#isToldClosed) return;
+  /** The process may stop once no pending request or response would be cut. */
+  #reportClosed(): void {
+    if (!this.#isClosed || this.#isClosedReported) return;
     for (const { isBusy } of this.#connections.values()) if (isBusy) return;
-    this.#isToldClosed = true;
+    this.#isClosedReported = true;
     this.sink.push({ kind: "callers.closed" });
   }
 
-  /** What is to be sent on for an exchange, or undefined when it has ended. */
+  /**
+   * The request to forward for an exchange, or undefined if the exchange has
+   * ended.
+   */
   outgoing(exchange: number): OutgoingRequest | undefined {
     return this.#exchanges.get(exchange)?.outgoing;
   }
 
-  /** Passes a server's answer on. */
-  deliver(exchange: number, answer: TakenAnswer): void {
+  /** Forwards a server's response. */
+  deliver(exchange: number, answer: BackendResponse): void {
     const { status, statusText, headers, body } = answer;
-    this.#answer(exchange, status, statusText, headers, body, false);
+    this.#respond(exchange, status, statusText, headers, body, false);
   }
 
-  /** Answers in the name of plumloft. */
+  /** Sends a response of plumloft itself. */
   refuse({ exchange, status, retryAfter, reason }: Refusal): void {
     const headers = ["Content-Type", "text/plain"];
     if (retryAfter !== null) {
       headers.push("Retry-After", (retryAfter / SECOND).toFixed(3));
     }
     const body = Buffer.from(`plumloft: ${reason}\n`);
-    this.#answer(exchange, status, "", headers, body, true);
+    this.#respond(exchange, status, "", headers, body, true);
   }
 
-  #answer(
+  #respond(
     number: number,
     status: number,
     statusText: string,
@@ -238,22 +262,22 @@
     const isLast = connection.isLast(number);
     if (this.#isDraining && isLast) connection.end();
     const head = [...headers, "Content-Length", String(body.length)];
-    if (isLast && !connection.takesRequests) head.push("Connection", "close");
+    if (isLast && !connection.acceptsRequests) head.push("Connection", "close");
     if (statusText === "") response.writeHead(status, head);
     else response.writeHead(status, statusText, head);
     response.end(body);
     this.observer.answered(status, isOwn, monotonicNow() - arrivedAt);
   }
 
-  #take(request: IncomingMessage, response: ServerResponse): void {
+  #handleRequest(request: IncomingMessage, response: ServerResponse): void {
     const connection = this.#connections.get(request.socket);
-    if (connection === undefined || !connection.takesRequests) {
-      this.#notTaken += 1;
+    if (connection === undefined || !connection.acceptsRequests) {
+      this.#unreadRequests += 1;
       request.resume();
       return;
     }
-    this.#count += 1;
-    const number = this.#count;
+    this.#exchangeCount += 1;
+    const number = this.#exchangeCount;
     const exchange: Exchange = {
       request,
       response,
@@ -268,50 +292,59 @@
       arrivedAt: monotonicNow(),
     };
     this.#exchanges.set(number, exchange);
-    connection.add(number, response, () => this.#left(number));
-    const fault = headerFault(request, this.#limits);
-    if (fault !== null) return this.#reject(number, fault);
-    if (!isMetExpectation(request)) this.#say(number, EXPECTATION_FAILED);
+    connection.addRequest(
+      number,
+      response,
+      () => this.#callerDisconnected(number),
+    );
+    const rejection = checkHeaders(request, this.#limits);
+    if (rejection !== null) return this.#reject(number, rejection);
+    if (!isMetExpectation(request)) this.#sendError(number, EXPECTATION_FAILED);
     readBody(request, () => this.#limits?.maximumBodyBytes ?? Infinity, {
-      tooLarge: () => this.#reject(number, BODY_TOO_LARGE),
-      whole: (body) => {
+      onTooLarge: () => this.#reject(number, BODY_TOO_LARGE),
+      onComplete: (body) => {
         if (!this.#exchanges.has(number)) return;
         exchange.outgoing.body = body;
-        this.#arrived(number, exchange);
+        this.#requestReceived(number, exchange);
       },
     });
   }
 
   /**
-   * The end of a caller's connection may lie unread behind its request: Node
-   * takes one new connection a turn of its loop, so on a busy VM they wait with
-   * all that was sent on them, and an end is read a turn after what is before
-   * it. It is looked for before the request is passed on to a server that
-   * nobody waits for any more. Three turns of an idle loop take 0.01 ms; on a
-   * busy VM they also take connections that wait, ahead of work on requests.
+   * Forwards a complete request once all bytes that are pending on connections
+   * have been read. The end of a caller's connection may be unread behind its
+   * request: Node accepts one new connection per turn of its event loop, so on
+   * a busy VM connections wait with everything that was sent on them, and the
+   * end is read one turn after the preceding bytes. Without this check, servers
+   * would run requests whose callers have disconnected. Three turns of an idle
+   * loop take 0.01 ms; on a busy VM they also accept waiting connections before
+   * requests are processed.
    */
-  #arrived(number: number, exchange: Exchange): void {
-    const cameAt = monotonicNow() - this.lag.lateness;
-    afterNextRead(() => {
+  #requestReceived(number: number, exchange: Exchange): void {
+    const receivedAt = monotonicNow() - this.lag.lateness;
+    afterPendingReads(() => {
       if (!this.#exchanges.has(number)) return;
-      this.#pass(number, exchange, cameAt);
+      this.#forward(number, exchange, receivedAt);
     });
   }
 
-  /** Passes a request on with the time that its caller still waits, which counts
-   * from when its bytes came: servers would work for callers that have left. */
-  #pass(number: number, exchange: Exchange, cameAt: number): void {
+  /**
+   * Forwards a request with its remaining timeout, which counts from when its
+   * bytes arrived at this VM. Counted from when they were read, servers would
+   * run requests whose callers have given up.
+   */
+  #forward(number: number, exchange: Exchange, receivedAt: number): void {
     const { headers } = exchange.request;
-    const { timeout, ...facts } = this.codec.readCaller(headers);
-    const age = Math.round(monotonicNow() - cameAt);
-    const isOld = timeout !== null && age > SHORT_AGE;
-    const remaining = isOld ? timeout - age : timeout;
-    if (isOld && timeout <= age) {
-      this.#late += 1;
-      this.sink.push({ kind: "request.late", id: facts.id, timeout, age });
-      return this.#say(number, READ_TOO_LATE);
+    const { timeout, ...metadata } = this.codec.readCaller(headers);
+    const age = Math.round(monotonicNow() - receivedAt);
+    const isDelayed = timeout !== null && age > MAXIMUM_FRESH_AGE;
+    const remaining = isDelayed ? timeout - age : timeout;
+    if (isDelayed && timeout <= age) {
+      this.#lateRequests += 1;
+      this.sink.push({ kind: "request.late", id: metadata.id, timeout, age });
+      return this.#sendError(number, READ_TOO_LATE);
     }
-    exchange.outgoing.id = facts.id;
+    exchange.outgoing.id = metadata.id;
     this.sink.push({
       kind: "request.arrived",
       arrival: {
@@ -320,18 +353,18 @@
         target: exchange.outgoing.target,
         timeout: remaining,
         fingerprint: fingerprintOf(exchange),
-        ...facts,
+        ...metadata,
       },
     });
   }
 
-  /** Answers a request that is not taken in and ends its connection. */
-  #reject(number: number, fault: RequestFault): void {
+  /** Responds to a request that is not forwarded and closes its connection. */
+  #reject(number: number, rejection: RequestRejection): void {
     this.#exchanges.get(number)?.connection.end();
-    this.#say(number, fault);
+    this.#sendError(number, rejection);
   }
 
-  #say(exchange: number, { status, reason }: RequestFault): void {
+  #sendError(exchange: number, { status, reason }: RequestRejection): void {
     this.refuse({
       kind: "request.refuse",
       exchange,
@@ -341,35 +374,43 @@
     });
   }
 
-  /** Bytes came that are no request, or the rest of one did not come in time.
-   * Answers that are due go first: what is sent in between would be taken for
-   * one of them. */
-  #fault(error: NodeJS.ErrnoException, socket: Duplex): void {
+  /**
+   * Handles bytes that are not an HTTP request, or a request that was not
+   * completed in time. Pending responses are sent first, since the caller would
+   * take the error response for one of them.
+   */
+  #handleClientError(error: NodeJS.ErrnoException, socket: Duplex): void {
     const connection = this.#connections.get(socket);
-    if (connection === undefined || HAS_LEFT.has(error.code ?? "")) {
+    if (connection === undefined || DISCONNECT_ERRORS.has(error.code ?? "")) {
       socket.destroy();
       return;
     }
-    const fault = PARSER_FAULTS[error.code ?? ""] ?? BAD_REQUEST;
-    this.#rejectUnread(connection, fault);
-    connection.end(rawAnswer(fault));
+    const rejection = PARSER_REJECTIONS[error.code ?? ""] ?? BAD_REQUEST;
+    this.#rejectPartialRequest(connection, rejection);
+    connection.end(rawResponse(rejection));
   }
 
-  /** Rejects the request of which only a part was read, if there is one. */
-  #rejectUnread({ last }: CallerConnection, fault: RequestFault): void {
-    if (last === null) return;
-    const isRead = this.#exchanges.get(last)?.request.complete ?? true;
-    if (!isRead) this.#reject(last, fault);
+  /** Rejects a request that was received only in part, if there is one. */
+  #rejectPartialRequest(
+    { lastExchange }: CallerConnection,
+    rejection: RequestRejection,
+  ): void {
+    if (lastExchange === null) return;
+    const isRead = this.#exchanges.get(lastExchange)?.request.complete ?? true;
+    if (!isRead) this.#reject(lastExchange, rejection);
   }
 
-  /** A tunnel is asked for; Node has let go of the connection's reading side. */
-  #tunnel(socket: Duplex): void {
+  /**
+   * Rejects a CONNECT request. Node no longer reads from the connection at this
+   * point.
+   */
+  #rejectTunnel(socket: Duplex): void {
     socket.on("error", () => socket.destroy());
     socket.resume();
-    this.#connections.get(socket)?.end(rawAnswer(NO_TUNNEL));
+    this.#connections.get(socket)?.end(rawResponse(TUNNEL_UNSUPPORTED));
   }
 
-  #left(number: number): void {
+  #callerDisconnected(number: number): void {
     if (!this.#exchanges.delete(number)) return;
     this.sink.push({ kind: "request.left", exchange: number });
   }
--- a/src/runtime/record_faults.ts
+++ b/src/runtime/decode_failure_log.ts
@@ -17,7 +17,7 @@
 const KEY_LENGTH = 64;
 
 /** See the module's comment. */
-export class RecordFaults {
+export class DecodeFailureLog {
   readonly #keys = new Set<string>();
   #isFull = false;
 
@@ -32,12 +32,12 @@
     feed: string,
     journal: Journal,
     metrics: EntryMetrics,
-  ): RecordFaults {
-    return new RecordFaults(feed, journal, metrics);
+  ): DecodeFailureLog {
+    return new DecodeFailureLog(feed, journal, metrics);
   }
 
   /** Takes what a read said of its records. */
-  take({ faults, sound, isWhole }: DecodedRead): void {
+  update({ faults, sound, isWhole }: DecodedRead): void {
     const gone = isWhole ? [...this.#keys] : sound;
     const faulty = new Set(faults.map(({ key }) => key));
     for (const key of gone) {
--- a/src/runtime/record_faults_test.ts
+++ b/src/runtime/decode_failure_log_test.ts
@@ -2,7 +2,7 @@
 import test from "ava";
 import { Journal } from "../logging/index.ts";
 import { EntryMetrics } from "./entry_metrics.ts";
-import { RecordFaults } from "./record_faults.ts";
+import { DecodeFailureLog } from "./decode_failure_log.ts";
 
 function createFaults() {
   const text: string[] = [];
@@ -14,7 +14,7 @@
   });
   const journal = Journal.create("vm", "info", output);
   const metrics = EntryMetrics.create(() => ({}));
-  const faults = RecordFaults.create("servers", journal, metrics);
+  const faults = DecodeFailureLog.create("servers", journal, metrics);
   const lines = () => {
     journal.flush();
     return text.splice(0).join("").split("\n").filter((line) => line !== "")
@@ -25,7 +25,7 @@
   };
   const take = (faulty: string[], sound: string[] = [], isWhole = false) => {
     const each = faulty.map((key) => ({ key, reason: `broken ${key}` }));
-    faults.take({ faults: each, sound, isWhole });
+    faults.update({ faults: each, sound, isWhole });
     return lines();
   };
   return { take, metrics };
--- a/src/runtime/entry_runner.ts
+++ b/src/runtime/effect_runner.ts
@@ -1,5 +1,5 @@
 /**
- * Carries out the effects of the core.
+ * Executes the effects that the core returns.
  *
  * @module
  */
@@ -28,15 +28,18 @@
 import type { ReadinessServer } from "./readiness_server.ts";
 import type { StoreLink } from "./store_link.ts";
 
-/** Times for orders, in milliseconds. */
+/** Timeouts of orders, in milliseconds. */
 export interface OrderTimeouts {
   grant: number;
-  /** A release is answered when the work that runs on the keys has ended. */
+  /**
+   * A server responds to a release after it has completed the work that runs on
+   * the keys.
+   */
   release: number;
 }
 
-/** What effects are carried out with. */
-export interface EntryAdapters {
+/** Components that execute the effects. */
+export interface EffectAdapters {
   sink: OccurrenceSink;
   callers: CallerServer;
   backends: BackendPool;
@@ -44,70 +47,70 @@
   orderTimeouts: OrderTimeouts;
   store: StoreLink;
   peers: PeerNetwork;
-  /** Where other VMs reach this one. */
+  /** Address at which other VMs reach this process. */
   peerAddress: string;
   readiness: ReadinessServer;
   metrics: EntryMetrics;
-  journal: Journal;
-  /** Follows the store's feeds, or leaves them. */
-  followFeeds(isOn: boolean): void;
-  /** Reads the configuration now. */
+  logger: Journal;
+  /** Starts or pauses reading the store's feeds. */
+  setFeedsEnabled(isOn: boolean): void;
+  /** Reads the configuration immediately. */
   refetchConfiguration(): void;
-  /** Called when the process has nothing left to do. */
-  stopped(): void;
+  /** Called when the core ends the process. */
+  onStopped(): void;
 }
 
 type KeyOrder = GrantOrder | ReleaseOrder;
 
 /** See the module's comment. */
-export class EntryRunner implements EffectHandler {
-  private constructor(private readonly adapters: EntryAdapters) {}
+export class EffectRunner implements EffectHandler {
+  private constructor(private readonly adapters: EffectAdapters) {}
 
-  /** A runner over these adapters. */
-  static create(adapters: EntryAdapters): EntryRunner {
-    return new EntryRunner(adapters);
+  /** Creates a runner that uses these components. */
+  static create(adapters: EffectAdapters): EffectRunner {
+    return new EffectRunner(adapters);
   }
 
   handle(effect: EntryEffect): void {
     const { store, callers, backends, readiness } = this.adapters;
     switch (effect.kind) {
       case "attempt.start":
-        return this.#start(effect);
+        return this.#startAttempt(effect);
       case "attempt.cancel":
         return backends.cancel(effect.attempt);
       case "server.check":
-        return backends.check(effect);
+        return backends.probe(effect);
       case "request.deliver":
-        return this.#deliver(effect);
+        return this.#deliverResponse(effect);
       case "request.refuse":
-        return this.#refuse(effect);
+        return this.#refuseRequest(effect);
       case "note":
-        return this.#note(effect);
+        return this.#log(effect);
       case "configuration.fetch":
         return this.adapters.refetchConfiguration();
       case "feeds.follow":
-        return this.adapters.followFeeds(effect.isOn);
+        return this.adapters.setFeedsEnabled(effect.isOn);
       case "limits.apply":
         return callers.apply(effect.limits);
       case "connections.close":
-        return backends.forget(effect.server);
+        return backends.closeConnections(effect.server);
       case "readiness.set":
         return readiness.set(effect.isReady);
       case "callers.drain":
         readiness.set(false);
         return callers.drain();
       case "callers.close":
-        return this.#close();
+        return this.#closeCallers();
       case "process.stop":
-        return this.adapters.stopped();
+        return this.adapters.onStopped();
       case "order.grant":
       case "order.release":
-        return void this.#order(effect);
+        return void this.#sendOrder(effect);
       case "keys.moved":
         this.adapters.metrics.observe("key_move_milliseconds", effect.took);
-        return this.#writeMove(effect);
+        return this.#logMove(effect);
       case "keys.move":
-        return this.#writeMove(effect);
+        return this.#logMove(effect);
       case "assignments.write":
         return void store.write(effect);
       case "term.read":
@@ -131,7 +134,7 @@
     }
   }
 
-  #start(effect: AttemptStart): void {
+  #startAttempt(effect: AttemptStart): void {
     const { backends, callers, metrics } = this.adapters;
     const outgoing = callers.outgoing(effect.exchange);
     if (outgoing === undefined) return;
@@ -139,33 +142,38 @@
     backends.send(effect, outgoing);
   }
 
-  #deliver(effect: Delivery): void {
-    const answer = this.adapters.backends.take(effect.attempt);
+  #deliverResponse(effect: Delivery): void {
+    const answer = this.adapters.backends.takeResponse(effect.attempt);
     if (answer !== null) this.adapters.callers.deliver(effect.exchange, answer);
   }
 
-  #refuse(effect: Refusal): void {
+  #refuseRequest(effect: Refusal): void {
     this.adapters.metrics.count("refusals_total", `reason="${effect.reason}"`);
     this.adapters.callers.refuse(effect);
   }
 
-  /** What the close meets tells a request that it cuts from one that it meets. */
-  #close(): void {
-    const { callers, journal } = this.adapters;
-    journal.write("info", "callers.closing", { ...callers.counts });
+  /**
+   * The counts before the close tell requests that the close cuts from requests
+   * that arrive afterwards.
+   */
+  #closeCallers(): void {
+    const { callers, logger } = this.adapters;
+    logger.write("info", "callers.closing", { ...callers.counts });
     callers.close();
   }
 
-  #note({ level, decision, detail }: Note): void {
+  #log({ level, decision, detail }: Note): void {
     this.adapters.metrics.count("decisions_total", `decision="${decision}"`);
-    this.adapters.journal.write(level, decision, detail);
+    this.adapters.logger.write(level, decision, detail);
   }
 
-  /** Which server an order was meant for, where, and with which token, tells it
-   * from others when two servers have had the same keys. `took`, in milliseconds,
-   * and `mayConnect` tell an order that was withheld for its age from one that was
-   * not allowed to open a connection. */
-  #noteOrder(
+  /**
+   * The server, its address and the token distinguish orders for the same keys
+   * to two servers. `took`, in milliseconds, and `mayConnect` distinguish an
+   * order that was withheld because of its age from one that was not allowed to
+   * open a connection.
+   */
+  #logOrder(
     order: KeyOrder,
     outcome: OrderOutcome,
     took: number,
@@ -174,7 +182,7 @@
     const cause = outcome.kind === "failed" ? outcome.cause : null;
     const range = { service, first, last };
     const target = { server, address, token };
-    this.#note({
+    this.#log({
       kind: "note",
       level: "info",
       decision: "order.not_accepted",
@@ -191,11 +199,11 @@
     });
   }
 
-  #writeMove({ kind, ...detail }: MoveNote | MovedNote): void {
-    this.adapters.journal.write("info", kind, detail);
+  #logMove({ kind, ...detail }: MoveNote | MovedNote): void {
+    this.adapters.logger.write("info", kind, detail);
   }
 
-  async #order(order: KeyOrder): Promise<void> {
+  async #sendOrder(order: KeyOrder): Promise<void> {
     const { orders, orderTimeouts, sink, metrics } = this.adapters;
     const startedAt = monotonicNow();
     const outcome: OrderOutcome = order.kind === "order.grant"
@@ -207,7 +215,7 @@
     );
     const took = monotonicNow() - startedAt;
     metrics.observe("order_milliseconds", took);
-    if (outcome.kind !== "accepted") this.#noteOrder(order, outcome, took);
+    if (outcome.kind !== "accepted") this.#logOrder(order, outcome, took);
     sink.push({ kind: "order.ended", order: order.order, outcome });
   }
 }
--- a/src/runtime/elapsed_clock.ts
+++ b/src/runtime/elapsed_clock.ts
@@ -1,156 +1,178 @@
 /**
- * How much time has gone by since the process started, also while its machine was
- * suspended.
+ * Elapsed time since the process started, including time for which the machine
+ * was suspended.
  *
- * The steady clock stands still then. The time of day does not, but it is also set,
- * which is no time that has gone; the time since the machine started tells the two
- * apart. Reading that takes 0.05 ms, so it is read when the time of day has jumped, and
- * now and then to see whether it runs like the steady clock at all: some platforms
- * show a process that of another machine. There a jump ahead is taken for a
- * suspension, and said to be uncertain.
+ * The steady clock stops during a suspension. The time of day continues, but is
+ * also adjusted, which is not elapsed time; the uptime of the machine
+ * distinguishes the two. Reading the uptime takes 0.05 ms, so it is read only
+ * when the time of day has jumped, and periodically to verify that it runs at
+ * the rate of the steady clock: some platforms report the uptime of another
+ * machine to a process. There a forward jump is treated as a suspension and
+ * reported as uncertain.
  *
  * @module
  */
 
-/** What a machine's clocks show, in milliseconds. */
+/** Clocks of a machine, in milliseconds. */
 export interface ClockReadings {
-  /** Never goes back, and stands still while the machine is suspended. */
+  /** Never goes back, and stops while the machine is suspended. */
   steady(): number;
-  /** Unix time, which may step either way when it is set. */
+  /** Unix time, which may step forwards or backwards when it is adjusted. */
   timeOfDay(): number;
-  /** Time since the machine started, also what it was suspended for. */
+  /** Time since the machine started, including suspensions. */
   uptime(): number;
 }
 
-/** Time that has gone by and that the steady clock has not counted. */
+/** Elapsed time that the steady clock has not counted. */
 export interface ClockJump {
-  /** Milliseconds. */
+  /** Length in milliseconds. */
   gap: number;
-  /** Whether it has gone by for certain: the time of day may only have been set. */
+  /**
+   * Whether the time has certainly elapsed; otherwise the time of day may only
+   * have been adjusted.
+   */
   isCertain: boolean;
 }
 
-/** Difference between two clocks from which one has jumped, in milliseconds: far more
- * than their steps, and than a clock that is slewed gains between two looks. */
-const JUMP = 100;
-/** Longest time between two looks that are compared, in milliseconds, and how often
- * they are made anew for that. */
-const LONGEST_LOOK = 10;
-const MOST_LOOKS = 5;
-/** Pause between two looks at the time since the machine's start, in milliseconds. */
-const CHECK_PAUSE = 2_000;
-/** Largest drift between two such looks of a clock that runs like the steady one. */
-const LARGEST_DRIFT = 40;
-/** Looks in a row without a drift after which it is believed. */
-const LOOKS_TO_TRUST = 3;
+/**
+ * Minimum difference between two clocks that counts as a jump, in milliseconds:
+ * far more than their resolution, and than a slewed clock gains between two
+ * readings.
+ */
+const MINIMUM_JUMP = 100;
+/**
+ * Maximum time between two readings that are compared, in milliseconds, and the
+ * number of attempts to stay within it.
+ */
+const MAXIMUM_READ_DURATION = 10;
+const MAXIMUM_READ_ATTEMPTS = 5;
+/** Interval between two checks of the uptime, in milliseconds. */
+const CHECK_INTERVAL = 2_000;
+/**
+ * Maximum drift between two checks of an uptime that runs at the rate of the
+ * steady clock, in milliseconds.
+ */
+const MAXIMUM_DRIFT = 40;
+/** Consecutive checks without drift after which the uptime is trusted. */
+const CHECKS_TO_TRUST = 3;
 
 /** See the module's comment. */
 export class ElapsedClock {
-  /** Time that was spent suspended. */
-  #suspended = 0;
-  /** By how much the other clocks are ahead of the steady one. */
-  #dayLead: number;
-  #uptimeLead: number;
+  /** Total time of all suspensions, in milliseconds. */
+  #suspendedTime = 0;
+  /** Offsets of the other clocks from the steady one, in milliseconds. */
+  #timeOfDayOffset: number;
+  #uptimeOffset: number;
   #checkedAt: number;
-  /** Whether the time of day has jumped since that look. */
+  /** Whether the time of day has jumped since the last check. */
   #hasJumped = false;
-  /** By how much the time of day was set back and not ahead again. */
-  #setBack = 0;
-  #soundLooks = 0;
-  /** Whether the time since the machine's start was seen to run otherwise. */
-  #isUptimeForeign = false;
+  /**
+   * Time by which the time of day was set back and not yet forward again, in
+   * milliseconds.
+   */
+  #setBackBy = 0;
+  #passedChecks = 0;
+  /** Whether the uptime was observed to run at another rate. */
+  #isUptimeFaulty = false;
   readonly #listeners = new Set<(jump: ClockJump) => void>();
 
   private constructor(private readonly readings: ClockReadings) {
-    this.#dayLead = this.#leadOf(() => readings.timeOfDay());
-    this.#uptimeLead = this.#leadOf(() => readings.uptime());
+    this.#timeOfDayOffset = this.#offsetOf(() => readings.timeOfDay());
+    this.#uptimeOffset = this.#offsetOf(() => readings.uptime());
     this.#checkedAt = readings.steady();
   }
 
-  /** A clock that begins now. */
+  /** Creates a clock that starts now. */
   static create(readings: ClockReadings): ElapsedClock {
     return new ElapsedClock(readings);
   }
 
-  /** Calls `listener` with every jump, before the time after it is told. Returns how
-   * to stop that. */
+  /**
+   * Calls `listener` for each jump, before a time after the jump is returned.
+   * Returns a function that removes the listener.
+   */
   onJump(listener: (jump: ClockJump) => void): () => void {
     this.#listeners.add(listener);
     return () => this.#listeners.delete(listener);
   }
 
-  /** Milliseconds since some moment; never goes back. */
+  /** Milliseconds since an arbitrary start; never goes back. */
   now(): number {
     const steady = this.readings.steady();
-    let shift = this.readings.timeOfDay() - steady - this.#dayLead;
-    if (Math.abs(shift) >= JUMP) {
-      shift = this.#leadOf(() => this.readings.timeOfDay()) - this.#dayLead;
+    let shift = this.readings.timeOfDay() - steady - this.#timeOfDayOffset;
+    if (Math.abs(shift) >= MINIMUM_JUMP) {
+      shift = this.#offsetOf(() => this.readings.timeOfDay()) -
+        this.#timeOfDayOffset;
     }
-    this.#dayLead += shift;
-    if (Math.abs(shift) >= JUMP) this.#jumped(shift);
-    else if (steady - this.#checkedAt >= CHECK_PAUSE) this.#check(steady);
-    return this.readings.steady() + this.#suspended;
+    this.#timeOfDayOffset += shift;
+    if (Math.abs(shift) >= MINIMUM_JUMP) this.#handleJump(shift);
+    else if (steady - this.#checkedAt >= CHECK_INTERVAL) this.#check(steady);
+    return this.readings.steady() + this.#suspendedTime;
   }
 
-  /** By how much a clock is ahead of the steady one. A process that is stopped
-   * between the looks at both would see a lead that is not there. */
-  #leadOf(read: () => number): number {
-    let lead = 0;
-    for (let i = 0; i < MOST_LOOKS; i++) {
+  /**
+   * Offset of a clock from the steady one. Reads again if the readings were too
+   * far apart: a process that is stopped between them would measure an offset
+   * that does not exist.
+   */
+  #offsetOf(read: () => number): number {
+    let offset = 0;
+    for (let i = 0; i < MAXIMUM_READ_ATTEMPTS; i++) {
       const before = this.readings.steady();
-      lead = read() - before;
-      if (this.readings.steady() - before <= LONGEST_LOOK) break;
+      offset = read() - before;
+      if (this.readings.steady() - before <= MAXIMUM_READ_DURATION) break;
     }
-    return lead;
+    return offset;
   }
 
   get #isUptimeTrusted(): boolean {
-    return !this.#isUptimeForeign && this.#soundLooks >= LOOKS_TO_TRUST;
+    return !this.#isUptimeFaulty && this.#passedChecks >= CHECKS_TO_TRUST;
   }
 
-  /** The time of day has moved by `shift` against the steady clock. */
-  #jumped(shift: number): void {
+  /**
+   * Handles a shift of the time of day by `shift` relative to the steady clock.
+   */
+  #handleJump(shift: number): void {
     this.#hasJumped = true;
     if (!this.#isUptimeTrusted) {
-      const gap = this.#isSetAhead(shift) ? 0 : shift;
-      return this.#count({ gap, isCertain: false });
+      const gap = this.#isStepCorrection(shift) ? 0 : shift;
+      return this.#addJump({ gap, isCertain: false });
     }
-    this.#count({ gap: this.#takeUptimeShift(), isCertain: true });
+    this.#addJump({ gap: this.#updateUptimeOffset(), isCertain: true });
   }
 
-  /** Whether a jump of the time of day makes up for one back before. */
-  #isSetAhead(shift: number): boolean {
-    const makesUp = this.#setBack > 0 &&
-      Math.abs(shift - this.#setBack) <= LARGEST_DRIFT;
-    this.#setBack = shift < 0 ? this.#setBack - shift : 0;
-    return makesUp;
+  /** Whether a jump of the time of day reverses an earlier step back. */
+  #isStepCorrection(shift: number): boolean {
+    const isCorrection = this.#setBackBy > 0 &&
+      Math.abs(shift - this.#setBackBy) <= MAXIMUM_DRIFT;
+    this.#setBackBy = shift < 0 ? this.#setBackBy - shift : 0;
+    return isCorrection;
   }
 
   #check(steady: number): void {
     const hasJumped = this.#hasJumped;
-    const shift = this.#takeUptimeShift();
+    const shift = this.#updateUptimeOffset();
     this.#checkedAt = steady;
     this.#hasJumped = false;
-    if (Math.abs(shift) <= LARGEST_DRIFT) this.#soundLooks += 1;
-    else if (!hasJumped && !this.#isUptimeTrusted) this.#isUptimeForeign = true;
-    else if (shift >= JUMP && this.#isUptimeTrusted) {
+    if (Math.abs(shift) <= MAXIMUM_DRIFT) this.#passedChecks += 1;
+    else if (!hasJumped && !this.#isUptimeTrusted) this.#isUptimeFaulty = true;
+    else if (shift >= MINIMUM_JUMP && this.#isUptimeTrusted) {
       // The time of day was set back while the machine was suspended.
-      this.#count({ gap: shift, isCertain: true });
+      this.#addJump({ gap: shift, isCertain: true });
     }
   }
 
-  /** By how much the time since the machine's start has moved against the steady
-   * clock since this was asked last. */
-  #takeUptimeShift(): number {
-    const lead = this.#leadOf(() => this.readings.uptime());
-    const shift = lead - this.#uptimeLead;
-    this.#uptimeLead = lead;
+  /** Shift of the uptime relative to the steady clock since the last call. */
+  #updateUptimeOffset(): number {
+    const offset = this.#offsetOf(() => this.readings.uptime());
+    const shift = offset - this.#uptimeOffset;
+    this.#uptimeOffset = offset;
     return shift;
   }
 
-  #count(jump: ClockJump): void {
-    if (jump.gap < JUMP) return;
-    this.#suspended += jump.gap;
+  #addJump(jump: ClockJump): void {
+    if (jump.gap < MINIMUM_JUMP) return;
+    this.#suspendedTime += jump.gap;
     for (const listener of this.#listeners) listener(jump);
   }
 }
--- a/src/runtime/entry_loop.ts
+++ b/src/runtime/entry_loop.ts
@@ -1,6 +1,7 @@
 /**
- * The one loop of an entry process: every event goes through one stream into
- * the reducer, and its effects are carried out before the next one.
+ * The event loop of an entry process. Every event passes through one stream
+ * into the reducer, and its effects are executed before the next event is
+ * processed.
  *
  * @module
  */
@@ -10,17 +11,17 @@
 import type { EntryEvent, Occurrence } from "../core/entry_event.ts";
 import { monotonicNow, onClockJump } from "./monotonic_clock.ts";
 
-/** Name under which `most` listens. */
-const EVENT = "event";
-/** Shortest time for which the timer is set, in milliseconds. */
-const SHORTEST_PAUSE = 1;
+/** Name of the event that `most` subscribes to. */
+const EVENT_NAME = "event";
+/** Minimum delay of the timer, in milliseconds. */
+const MINIMUM_TIMER_DELAY = 1;
 
 /**
- * What `most` takes events from. It is shaped as an `EventTarget` since `most`
- * passes on an `EventEmitter`'s events only after the stack has cleared, and
- * loses those that are emitted meanwhile.
+ * Source of the event stream. It implements `EventTarget`, since `most`
+ * forwards the events of an `EventEmitter` only after the call stack has
+ * cleared, and loses events that are emitted before that.
  */
-class EventOrigin {
+class LoopEventTarget {
   #listener: ((event: EntryEvent) => void) | null = null;
 
   addEventListener(_: string, listener: (event: EntryEvent) => void): void {
@@ -36,58 +37,62 @@
   }
 }
 
-/** Takes occurrences into the loop. */
+/** Receives occurrences for the loop. */
 export interface OccurrenceSink {
   push(occurrence: Occurrence): void;
 }
 
-/** Carries out effects; never throws. */
+/** Executes effects; never throws. */
 export interface EffectHandler {
   handle(effect: EntryEffect): void;
 }
 
 /** See the module's comment. */
 export class EntryLoop implements OccurrenceSink {
-  readonly #origin = new EventOrigin();
-  readonly #waiting: Occurrence[] = [];
+  readonly #eventTarget = new LoopEventTarget();
+  readonly #queue: Occurrence[] = [];
   #isRunning = false;
   #timer: NodeJS.Timeout | null = null;
   #timerAt = Infinity;
   #isStopped = false;
-  readonly #ignoreClock: () => void;
+  readonly #unsubscribeClock: () => void;
 
   private constructor(private readonly entry: Entry) {
-    this.#ignoreClock = onClockJump((jump) =>
-      this.#waiting.unshift({ kind: "clock.jumped", ...jump })
+    this.#unsubscribeClock = onClockJump((jump) =>
+      this.#queue.unshift({ kind: "clock.jumped", ...jump })
     );
   }
 
-  /** A loop around `entry`. */
+  /** Creates a loop around `entry`. */
   static create(entry: Entry): EntryLoop {
     return new EntryLoop(entry);
   }
 
-  /** Lets `handler` carry out all effects from here on. */
+  /** Executes all effects with `handler` from now on. */
   connect(handler: EffectHandler): void {
-    const origin = this.#origin as unknown as EventTarget;
-    most.fromEvent(EVENT, origin)
+    const target = this.#eventTarget as unknown as EventTarget;
+    most.fromEvent(EVENT_NAME, target)
       .map((event) => this.entry.step(event as unknown as EntryEvent))
       .observe((effects) => {
         for (const effect of effects) handler.handle(effect);
       });
   }
 
-  /** Takes in an occurrence; one that arises meanwhile waits its turn. */
+  /**
+   * Processes an occurrence. One that is pushed while another is processed is
+   * queued.
+   */
   push(occurrence: Occurrence): void {
-    this.#waiting.push(occurrence);
+    this.#queue.push(occurrence);
     if (this.#isRunning || this.#isStopped) return;
     this.#isRunning = true;
     try {
-      while (this.#waiting.length > 0) {
-        // A jump that this look finds goes first: nothing is decided upon what was
-        // believed before it.
+      while (this.#queue.length > 0) {
+        // Reading the clock may put a clock jump at the front of the queue. It
+        // is processed first, so that nothing is decided from state that
+        // predates the jump.
         const now = monotonicNow();
-        this.#origin.emit({ ...this.#waiting.shift()!, now });
+        this.#eventTarget.emit({ ...this.#queue.shift()!, now });
       }
     } finally {
       this.#isRunning = false;
@@ -95,14 +100,14 @@
     this.#setTimer();
   }
 
-  /** Takes nothing in any more. */
+  /** Ignores all further occurrences. */
   stop(): void {
     this.#isStopped = true;
-    this.#ignoreClock();
+    this.#unsubscribeClock();
     if (this.#timer !== null) clearTimeout(this.#timer);
   }
 
-  /** Keeps one timer for the next moment at which the core has to look. */
+  /** Sets one timer for the next time at which the core has to run. */
   #setTimer(): void {
     const now = monotonicNow();
     const at = this.entry.nextAt(now);
@@ -111,10 +116,10 @@
       clearTimeout(this.#timer);
     }
     this.#timerAt = at;
-    const pause = Math.max(SHORTEST_PAUSE, at - now);
+    const delay = Math.max(MINIMUM_TIMER_DELAY, at - now);
     this.#timer = setTimeout(() => {
       this.#timer = null;
       this.push({ kind: "timer" });
-    }, pause);
+    }, delay);
   }
 }
--- a/src/runtime/entry_process.ts
+++ b/src/runtime/entry_process.ts
@@ -1,5 +1,6 @@
 /**
- * One entry process: the core with its sockets around it.
+ * One entry process: the core together with its servers, connection pools and
+ * store client.
  *
  * @module
  */
@@ -15,8 +16,8 @@
 import type { ControlStore, Feed } from "./control_store.ts";
 import { EntryLoop } from "./entry_loop.ts";
 import { EntryMetrics } from "./entry_metrics.ts";
-import { EntryRunner } from "./entry_runner.ts";
-import { FeedFollower, type FeedPace } from "./feed_follower.ts";
+import { EffectRunner } from "./effect_runner.ts";
+import { FeedFollower, type FeedTiming } from "./feed_follower.ts";
 import type { HeaderCodec } from "./header_codec.ts";
 import { LoopLag } from "./loop_lag.ts";
 import { monotonicNow } from "./monotonic_clock.ts";
@@ -25,33 +26,47 @@
 import { ReadinessServer } from "./readiness_server.ts";
 import { StoreLink } from "./store_link.ts";
 
-/** Longest wait of a read for news that come seldom, in milliseconds: a call
- * costs more than the bytes. One that dies in silence is noticed by the short
- * calls beside it, and peers tell each other the version of the configuration. */
-const LONG_POLL = 29_000;
-/** The same for the configuration just after a read has failed: with the store's
- * timeout a lost answer is noticed within 1.5 s, and a configuration must be in
- * force 2 s after it was acknowledged. */
-const UNSURE_WAIT = 500;
-/** Share of the drain time between two reads of the registry by the term holder,
- * and the share after which another VM that has no younger word of it reads it
- * itself: both leave time for one slow answer before nothing more may reach a
- * server that is leaving. */
+/**
+ * Long-poll timeout for feeds that rarely change, in milliseconds: a call costs
+ * more than its bytes. A connection that is lost without a reset is noticed by
+ * the shorter calls that run at the same time, and VMs exchange the version of
+ * their configuration.
+ */
+const LONG_POLL_TIMEOUT = 29_000;
+/**
+ * Long-poll timeout of the configuration feed shortly after a failed read, in
+ * milliseconds. Together with the store's timeout, a lost response is noticed
+ * within 1.5 s; a configuration must be in force 2 s after it was acknowledged.
+ */
+const LONG_POLL_TIMEOUT_AFTER_FAILURE = 500;
+/**
+ * Interval between two reads of the registry by the term holder, and the age at
+ * which another VM without a newer copy reads the registry itself, both as a
+ * share of the drain time. Both leave time for one slow response before
+ * requests to a draining server must have stopped.
+ */
 const REGISTRY_INTERVAL_SHARE = 0.225;
-const REGISTRY_AGE_SHARE = 0.6;
-/** Time of a shutdown in which new connections still come, in milliseconds. */
-const CLOSE_AFTER = 3_600;
-/** The same as a share of a short shutdown. */
+const REGISTRY_MAXIMUM_AGE_SHARE = 0.6;
+/**
+ * Time during a shutdown in which new connections are still accepted, in
+ * milliseconds.
+ */
+const CLOSE_DELAY = 3_600;
+/** Upper bound of that time as a share of the shutdown timeout. */
 const CLOSE_SHARE = 0.6;
-/** Milliseconds in a second. */
-const SECOND = 1_000;
-/** Time kept between our own end and the end by force, in milliseconds. */
+const MILLISECONDS_PER_SECOND = 1_000;
+/**
+ * Time between this process's own exit and the forced termination at the
+ * shutdown timeout, in milliseconds.
+ */
 const STOP_MARGIN = 250;
-/** Time for a release to be answered, in milliseconds: work that runs on the
- * keys ends first. */
+/**
+ * Timeout of a release order, in milliseconds. A server responds after it has
+ * completed the work that runs on the keys.
+ */
 const RELEASE_TIMEOUT = 3_000;
 
-/** What connects a process to its platform. */
+/** Connections of a process to its platform. */
 export interface PlatformAdapters {
   store: ControlStore;
   headers: HeaderCodec;
@@ -64,15 +79,15 @@
   readonly stopped: Promise<void>;
   readonly #followers: FeedFollower[] = [];
   readonly #entry: Entry;
-  #configuration: FeedFollower | null = null;
+  #configurationFollower: FeedFollower | null = null;
   readonly #loop: EntryLoop;
-  readonly #lag = LoopLag.create();
-  readonly #callers: CallerServer;
-  readonly #backends: BackendPool;
-  readonly #readiness = ReadinessServer.create();
-  readonly #admin: AdminServer;
-  readonly #peers: PeerNetwork;
-  readonly #journal: Journal;
+  readonly #loopLag = LoopLag.create();
+  readonly #callerServer: CallerServer;
+  readonly #backendPool: BackendPool;
+  readonly #readinessServer = ReadinessServer.create();
+  readonly #adminServer: AdminServer;
+  readonly #peerNetwork: PeerNetwork;
+  readonly #logger: Journal;
   readonly #metrics: EntryMetrics;
   #resolveStopped: () => void = () => {};
 
@@ -83,8 +98,9 @@
     seed: number,
   ) {
     this.stopped = new Promise((resolve) => this.#resolveStopped = resolve);
-    this.#journal = Journal.create(settings.vm, settings.logging.level, output);
-    const shutdownTimeout = settings.shutdownTimeoutSeconds * SECOND;
+    this.#logger = Journal.create(settings.vm, settings.logging.level, output);
+    const shutdownTimeout = settings.shutdownTimeoutSeconds *
+      MILLISECONDS_PER_SECOND;
     const entry = this.#entry = Entry.create({
       peerAddress: settings.peer,
       seeds: settings.seeds.filter((seed) => seed !== settings.peer),
@@ -92,7 +108,7 @@
       leaseTiming: withinMaximum(settings.leases),
       retryLimits: settings.retries,
       shutdown: {
-        closeAfter: Math.min(CLOSE_AFTER, shutdownTimeout * CLOSE_SHARE),
+        closeAfter: Math.min(CLOSE_DELAY, shutdownTimeout * CLOSE_SHARE),
         stopAfter: shutdownTimeout - STOP_MARGIN,
       },
       fitness: fitnessOf({
@@ -101,54 +117,59 @@
       }),
       registryTiming: {
         interval: settings.drainTime * REGISTRY_INTERVAL_SHARE,
-        maximumAge: settings.drainTime * REGISTRY_AGE_SHARE,
+        maximumAge: settings.drainTime * REGISTRY_MAXIMUM_AGE_SHARE,
       },
       seed,
     });
     this.#loop = EntryLoop.create(entry);
     const metrics = this.#metrics = EntryMetrics.create(() =>
-      gauges(entry, this.#journal, this.#peers.traffic, this.#callers.counts)
+      readGauges(
+        entry,
+        this.#logger,
+        this.#peerNetwork.traffic,
+        this.#callerServer.counts,
+      )
     );
-    this.#admin = AdminServer.create(
+    this.#adminServer = AdminServer.create(
       metrics,
       () => this.status(),
     );
-    this.#callers = CallerServer.create(
+    this.#callerServer = CallerServer.create(
       platform.headers,
       this.#loop,
       metrics,
-      this.#lag,
+      this.#loopLag,
     );
-    this.#backends = BackendPool.create(platform.headers, this.#loop);
-    this.#peers = PeerNetwork.create(
+    this.#backendPool = BackendPool.create(platform.headers, this.#loop);
+    this.#peerNetwork = PeerNetwork.create(
       { vm: settings.vm, peerAddress: settings.peer },
       this.#loop,
-      this.#journal,
+      this.#logger,
     );
-    this.#loop.connect(EntryRunner.create({
+    this.#loop.connect(EffectRunner.create({
       sink: this.#loop,
-      callers: this.#callers,
-      backends: this.#backends,
+      callers: this.#callerServer,
+      backends: this.#backendPool,
       orders: platform.orders,
       orderTimeouts: {
         grant: settings.leases.orderTimeout,
         release: RELEASE_TIMEOUT,
       },
-      store: this.#storeLink(),
-      peers: this.#peers,
+      store: this.#createStoreLink(),
+      peers: this.#peerNetwork,
       peerAddress: settings.peer,
-      readiness: this.#readiness,
+      readiness: this.#readinessServer,
       metrics,
-      journal: this.#journal,
-      followFeeds: (isOn) => {
-        for (const follower of this.#followers) follower.turn(isOn);
+      logger: this.#logger,
+      setFeedsEnabled: (isOn) => {
+        for (const follower of this.#followers) follower.setEnabled(isOn);
       },
-      refetchConfiguration: () => this.#configuration?.refresh(),
-      stopped: () => this.#stop(),
+      refetchConfiguration: () => this.#configurationFollower?.refresh(),
+      onStopped: () => this.#stop(),
     }));
   }
 
-  /** Starts a process. Rejects when an address cannot be had. */
+  /** Starts a process. Rejects if it cannot listen at one of its addresses. */
   static async start(
     settings: EntrySettings,
     platform: PlatformAdapters,
@@ -160,98 +181,105 @@
     return process;
   }
 
-  /** What the process believes. */
+  /** State of this process as seen by the core. */
   status(): EntryStatus {
     return describeEntry(this.#entry, monotonicNow());
   }
 
-  /** Stops once nothing is in flight. */
+  /**
+   * Starts a graceful shutdown; {@linkcode stopped} resolves when it has
+   * completed.
+   */
   shutdown(): void {
-    this.#loop.push({ kind: "shutdown", lateness: this.#lag.lateness });
+    this.#loop.push({ kind: "shutdown", lateness: this.#loopLag.lateness });
   }
 
-  /** Notes that the settings were looked at again. */
+  /** Logs that the settings were reloaded. */
   reloaded(isChanged: boolean): void {
-    this.#journal.write("info", "settings.reloaded", { isChanged });
+    this.#logger.write("info", "settings.reloaded", { isChanged });
   }
 
-  /** Notes that the settings could not be read again. */
+  /** Logs that the settings could not be reloaded. */
   reloadFailed(cause: string): void {
-    this.#journal.write("warn", "settings.reload_failed", { cause });
+    this.#logger.write("warn", "settings.reload_failed", { cause });
   }
 
   async #start(): Promise<void> {
     const { settings } = this;
-    await this.#readiness.listen(settings.readiness);
-    await this.#callers.listen(settings.listen);
-    await this.#admin.listen(settings.admin);
-    await this.#peers.listen();
-    this.#journal.write("info", "process.started", {
+    await this.#readinessServer.listen(settings.readiness);
+    await this.#callerServer.listen(settings.listen);
+    await this.#adminServer.listen(settings.admin);
+    await this.#peerNetwork.listen();
+    this.#logger.write("info", "process.started", {
       zone: settings.availabilityZone,
       listen: settings.listen,
       store: settings.store.address,
     });
-    const pace = { wait: LONG_POLL, unsureWait: LONG_POLL, pause: 0 };
-    this.#configuration = this.#follow("configuration", {
-      ...pace,
-      unsureWait: UNSURE_WAIT,
+    const timing = {
+      longPollTimeout: LONG_POLL_TIMEOUT,
+      longPollTimeoutAfterFailure: LONG_POLL_TIMEOUT,
+      readInterval: 0,
+    };
+    this.#configurationFollower = this.#follow("configuration", {
+      ...timing,
+      longPollTimeoutAfterFailure: LONG_POLL_TIMEOUT_AFTER_FAILURE,
     });
-    this.#follow("holder", pace);
+    this.#follow("holder", timing);
     this.#loop.push({ kind: "timer" });
   }
 
   #follow(
     feed: Feed,
-    pace: FeedPace,
+    timing: FeedTiming,
   ): FeedFollower {
     const { store } = this.platform;
     const follower = FeedFollower.create(
       store,
       feed,
-      pace,
+      timing,
       this.#loop,
-      this.#journal,
+      this.#logger,
       this.#metrics,
     );
     this.#followers.push(follower);
     return follower;
   }
 
-  #storeLink(): StoreLink {
+  #createStoreLink(): StoreLink {
     const { memberTimeToLive, minimumTimeToLive } = this.settings.store;
     const timeToLive = Math.max(memberTimeToLive, minimumTimeToLive);
     return StoreLink.create(
       this.platform.store,
       timeToLive,
       this.#loop,
-      this.#journal,
+      this.#logger,
       this.#metrics,
     );
   }
 
   #stop(): void {
     this.#loop.stop();
-    this.#lag.stop();
+    this.#loopLag.stop();
     for (const follower of this.#followers) follower.stop();
-    // What is in hand here is cut.
-    const { counts } = this.#callers;
-    this.#callers.destroy();
-    this.#backends.close();
-    this.#readiness.close();
-    this.#admin.close();
-    this.#peers.close();
+    // Destroying the servers below cuts the requests that these counts include.
+    const { counts } = this.#callerServer;
+    this.#callerServer.destroy();
+    this.#backendPool.close();
+    this.#readinessServer.close();
+    this.#adminServer.close();
+    this.#peerNetwork.close();
     this.platform.orders.close();
     this.platform.store.close();
-    this.#journal.write("info", "process.stopped", { ...counts });
-    this.#journal.flush();
+    this.#logger.write("info", "process.stopped", { ...counts });
+    this.#logger.flush();
     this.#resolveStopped();
   }
 }
 
-/** Beliefs of the core and the state of the process, for metrics. */
-function gauges(
+/** Gauges of the core and of the process. */
+function readGauges(
   entry: Entry,
-  journal: Journal,
+  logger: Journal,
   traffic: PeerTraffic,
   callers: CallerCounts,
 ): Record<string, number> {
@@ -269,7 +297,7 @@
     vms: entry.vms ?? 0,
     requests_quarantined: entry.beliefs.quarantine.holdCount,
     is_term_holder: entry.campaign.holder === null ? 0 : 1,
-    log_lines_dropped: journal.dropped,
+    log_lines_dropped: logger.dropped,
     processor_seconds: (user + system) / 1e6,
     memory_bytes: process.memoryUsage.rss(),
     peer_bytes_received_total: traffic.bytesReceived,
--- a/src/runtime/feed_follower.ts
+++ b/src/runtime/feed_follower.ts
@@ -1,6 +1,6 @@
 /**
- * Follows one feed of the store: reads all that is current, then what is
- * written from there on, and starts over when records have expired.
+ * Follows one feed of the store: reads the current records, then polls for new
+ * ones, and starts over when records have expired.
  *
  * @module
  */
@@ -10,39 +10,49 @@
 import type { ControlStore, Feed, StoreRead } from "./control_store.ts";
 import type { OccurrenceSink } from "./entry_loop.ts";
 import type { EntryMetrics } from "./entry_metrics.ts";
-import { RecordFaults } from "./record_faults.ts";
+import { DecodeFailureLog } from "./decode_failure_log.ts";
 
-/** Pause after a read that failed, in milliseconds. */
-const RETRY_PAUSE = 250;
-/** Longest wait for a sign that the store answers again, in milliseconds. The
- * calls of membership, which cost a tenth, find that out; feeds that kept asking
- * made 7,500 calls in 25 s while the store turned a third of 91 VMs away. */
-const LONGEST_WAIT = 3_000;
+/** Delay after a failed read, in milliseconds. */
+const RETRY_DELAY = 250;
+/**
+ * Maximum wait for the store to become reachable again, in milliseconds.
+ * Membership calls, which cost a tenth of a read, detect that. Feeds that kept
+ * polling made 7,500 calls in 25 s while the store rejected a third of the
+ * calls of 91 VMs.
+ */
+const MAXIMUM_RETRY_WAIT = 3_000;
 
-/** Time after a failed read for which reads wait shortly, in milliseconds: a store
- * that has just come back may lose the answer to a call that waits without a
- * sign, which is noticed only when the call times out. */
-const UNSURE_TIME = 1_500;
+/**
+ * Time after a failed read during which reads use the short long-poll timeout,
+ * in milliseconds. A store that has just recovered may lose the response to a
+ * waiting call without a reset, which is noticed only when the call times out.
+ */
+const AFTER_FAILURE_PERIOD = 1_500;
 
-/** How a feed is followed. */
-export interface FeedPace {
-  /** Time for which a read waits for the next record, in milliseconds: for
-   * feeds that change seldom, where news has to come at once. */
-  wait: number;
-  /** The same just after a read has failed. */
-  unsureWait: number;
-  /** Pause between reads, in milliseconds: for feeds that always change. */
-  pause: number;
+/** Timing of the reads of a feed. */
+export interface FeedTiming {
+  /**
+   * Long-poll timeout of a read, in milliseconds, for feeds that change seldom
+   * and whose updates are needed at once.
+   */
+  longPollTimeout: number;
+  /** Long-poll timeout shortly after a failed read, in milliseconds. */
+  longPollTimeoutAfterFailure: number;
+  /**
+   * Minimum interval between the starts of two reads, in milliseconds, for
+   * feeds that change constantly.
+   */
+  readInterval: number;
 }
 
 /** See the module's comment. */
 export class FeedFollower {
-  #next: number | null = null;
+  #nextPosition: number | null = null;
   #isStopped = false;
-  #isOn = true;
-  /** Whether a read is on its way. */
+  #isEnabled = true;
+  /** Whether a read is in flight. */
   #isReading = false;
-  /** Lets a follower that was turned off go on; null while it is not waiting. */
+  /** Resumes a paused follower; null while it is not paused. */
   #resume: (() => void) | null = null;
   #failedAt = -Infinity;
   #isRefreshing = false;
@@ -50,53 +60,58 @@
   private constructor(
     private readonly store: ControlStore,
     private readonly feed: Feed,
-    private readonly pace: FeedPace,
+    private readonly timing: FeedTiming,
     private readonly sink: OccurrenceSink,
-    private readonly faults: RecordFaults,
+    private readonly failureLog: DecodeFailureLog,
   ) {}
 
   /** Starts to follow `feed`. */
   static create(
     store: ControlStore,
     feed: Feed,
-    pace: FeedPace,
+    timing: FeedTiming,
     sink: OccurrenceSink,
-    journal: Journal,
+    logger: Journal,
     metrics: EntryMetrics,
   ): FeedFollower {
-    const faults = RecordFaults.create(feed, journal, metrics);
-    const follower = new FeedFollower(store, feed, pace, sink, faults);
+    const failureLog = DecodeFailureLog.create(feed, logger, metrics);
+    const follower = new FeedFollower(store, feed, timing, sink, failureLog);
     void follower.#follow();
     return follower;
   }
 
-  /** Reads all that is current now, beside the call that waits for news; once at a
-   * time, since a large document would come no sooner twice. */
+  /**
+   * Reads all current records in parallel with the pending long poll. Only one
+   * refresh runs at a time, since a large document would not arrive sooner
+   * twice.
+   */
   async refresh(): Promise<void> {
     if (this.#isRefreshing) return;
     this.#isRefreshing = true;
     const sentAt = monotonicNow();
     try {
-      this.#pass(await this.store.readAll(this.feed), sentAt);
+      this.#applyRead(await this.store.readAll(this.feed), sentAt);
     } catch (error) {
-      this.#failed(error);
+      this.#reportFailure(error);
     } finally {
       this.#isRefreshing = false;
     }
   }
 
-  /** Reads on, or begins no further read until it is turned on again. A read that
-   * still waits then may have lost its connection without a sign, so another one
-   * is made beside it. */
-  turn(isOn: boolean): void {
-    if (isOn === this.#isOn) return;
-    this.#isOn = isOn;
-    if (!isOn) return;
+  /**
+   * Resumes reading, or starts no further read until it is enabled again. A
+   * read that is still pending may have lost its connection without a reset, so
+   * resuming starts another one in parallel.
+   */
+  setEnabled(isEnabled: boolean): void {
+    if (isEnabled === this.#isEnabled) return;
+    this.#isEnabled = isEnabled;
+    if (!isEnabled) return;
     if (this.#isReading) void this.refresh();
     this.#resume?.();
   }
 
-  /** Reads nothing more. */
+  /** Starts no further reads. */
   stop(): void {
     this.#isStopped = true;
     this.#resume?.();
@@ -104,18 +119,18 @@
 
   async #follow(): Promise<void> {
     while (!this.#isStopped) {
-      if (!this.#isOn) await this.#turnedOn();
+      if (!this.#isEnabled) await this.#waitUntilEnabled();
       if (this.#isStopped) return;
       const startedAt = monotonicNow();
       const isDone = await this.#read(startedAt);
-      const pause = isDone ? this.pace.pause : RETRY_PAUSE;
-      const left = startedAt + pause - monotonicNow();
-      if (left > 0) await new Promise((next) => setTimeout(next, left));
-      if (!isDone) await this.store.reached(LONGEST_WAIT);
+      const pause = isDone ? this.timing.readInterval : RETRY_DELAY;
+      const delay = startedAt + pause - monotonicNow();
+      if (delay > 0) await new Promise((next) => setTimeout(next, delay));
+      if (!isDone) await this.store.reached(MAXIMUM_RETRY_WAIT);
     }
   }
 
-  async #turnedOn(): Promise<void> {
+  async #waitUntilEnabled(): Promise<void> {
     await new Promise<void>((resolve) => this.#resume = resolve);
     this.#resume = null;
   }
@@ -123,29 +138,35 @@
   async #read(sentAt: number): Promise<boolean> {
     this.#isReading = true;
     try {
-      const read = this.#next === null
+      const read = this.#nextPosition === null
         ? await this.store.readAll(this.feed)
-        : await this.store.readOn(this.feed, this.#next, this.#wait(sentAt));
+        : await this.store.readOn(
+          this.feed,
+          this.#nextPosition,
+          this.#longPollTimeout(sentAt),
+        );
       if (this.#isStopped) return true;
-      this.#next = read.next;
-      this.#pass(read, sentAt);
+      this.#nextPosition = read.next;
+      this.#applyRead(read, sentAt);
       return true;
     } catch (error) {
-      if (this.store.isExpired(error)) this.#next = null;
-      this.#failed(error);
+      if (this.store.isExpired(error)) this.#nextPosition = null;
+      this.#reportFailure(error);
       return false;
     } finally {
       this.#isReading = false;
     }
   }
 
-  /** How long a read that begins now may wait for news. */
-  #wait(now: number): number {
-    const isUnsure = now - this.#failedAt < UNSURE_TIME;
-    return isUnsure ? this.pace.unsureWait : this.pace.wait;
+  /** Long-poll timeout of a read that starts at `now`. */
+  #longPollTimeout(now: number): number {
+    const hasFailedRecently = now - this.#failedAt < AFTER_FAILURE_PERIOD;
+    return hasFailedRecently
+      ? this.timing.longPollTimeoutAfterFailure
+      : this.timing.longPollTimeout;
   }
 
-  #failed(error: unknown): void {
+  #reportFailure(error: unknown): void {
     if (this.#isStopped) return;
     this.#failedAt = monotonicNow();
     this.sink.push({
@@ -155,9 +176,9 @@
     });
   }
 
-  #pass(read: StoreRead, sentAt: number): void {
+  #applyRead(read: StoreRead, sentAt: number): void {
     this.sink.push({ kind: "store.answered", sentAt });
-    this.faults.take(read);
+    this.failureLog.update(read);
     for (const occurrence of read.occurrences) this.sink.push(occurrence);
   }
 }
--- a/src/runtime/feed_follower_test.ts
+++ b/src/runtime/feed_follower_test.ts
@@ -41,7 +41,11 @@
   const follower = FeedFollower.create(
     store,
     "configuration",
-    { wait: WAIT, unsureWait: 500, pause: 0 },
+    {
+      longPollTimeout: WAIT,
+      longPollTimeoutAfterFailure: 500,
+      readInterval: 0,
+    },
     { push: () => {} },
     Journal.create("vm", "error", output),
     EntryMetrics.create(() => ({})),
@@ -58,16 +62,16 @@
 
 test("feed: one that is turned off begins no read until it is turned on", async (t) => {
   const { follower, waits, readAll } = follow(["news"]);
-  follower.turn(false);
+  follower.setEnabled(false);
   await new Promise((next) => setTimeout(next, 50));
   t.deepEqual(waits, []);
-  follower.turn(true);
+  follower.setEnabled(true);
   await new Promise((next) => setTimeout(next, 50));
   t.deepEqual(waits, [WAIT, WAIT]);
   // The read that still waits may never be answered: another is made beside it.
   const before = readAll();
-  follower.turn(false);
-  follower.turn(true);
+  follower.setEnabled(false);
+  follower.setEnabled(true);
   t.is(readAll(), before + 1);
   follower.stop();
 });
--- a/src/runtime/frame.ts
+++ b/src/runtime/frame.ts
@@ -21,7 +21,7 @@
 const DEFLATE_LEVEL = 1;
 
 /** Number of the protocol between processes. */
-export const PROTOCOL = 2;
+export const PROTOCOL_VERSION = 2;
 
 const codec = new Encoder({ useRecords: false });
 
--- a/src/runtime/hostile_text_test.ts
+++ b/src/runtime/hostile_text_test.ts
@@ -10,7 +10,7 @@
 import { PlatformHeaders } from "../../platform/index.ts";
 import { connectCaller } from "../../test/support/caller_connection.ts";
 import { loopbackAddress } from "../../test/support/loopback_address.ts";
-import { BackendPool, type TakenAnswer } from "./backend_pool.ts";
+import { BackendPool, type BackendResponse } from "./backend_pool.ts";
 import { listenAt } from "./listen.ts";
 
 /** Time for an attempt to end, in milliseconds. */
@@ -24,12 +24,12 @@
 /** Sends a request to a server as it is listed; what came of it. */
 async function attempt(server: string, address: string) {
   const outcomes: string[] = [];
-  let answer: TakenAnswer | null = null;
+  let answer: BackendResponse | null = null;
   const pool = BackendPool.create(PlatformHeaders.create(), {
     push: (each) => {
       if (each.kind !== "attempt.ended") return;
       outcomes.push(each.outcome.kind);
-      answer = pool.take(each.attempt);
+      answer = pool.takeResponse(each.attempt);
     },
   });
   pool.send({
@@ -48,7 +48,7 @@
   });
   await pause();
   pool.close();
-  return { outcomes, answer: answer as TakenAnswer | null };
+  return { outcomes, answer: answer as BackendResponse | null };
 }
 
 /** Address of a server that answers with this line, signed. */
@@ -68,7 +68,7 @@
 }
 
 /** What a caller gets of an answer. */
-async function passOn(t: ExecutionContext, answer: TakenAnswer) {
+async function passOn(t: ExecutionContext, answer: BackendResponse) {
   const { server, socket, read } = await connectCaller(t, {
     maximumHeaderBytes: 1_000,
     maximumBodyBytes: 1_000,
--- a/src/runtime/http_client.ts
+++ b/src/runtime/http_client.ts
@@ -1,10 +1,9 @@
 /**
- * Short HTTP calls to parts of the system: kept connections, answers taken
- * whole, and a bound on every wait.
+ * HTTP client for short internal calls, with persistent connections, complete
+ * responses and a timeout on every wait.
  *
- * Node's own client is used in an entry process: `undici` would add 13 MB of
- * memory and 0.12 s of processor time to each start (measured as whole
- * processes that load and use either).
+ * Uses Node's HTTP client, since loading and using `undici` would add 13 MB of
+ * memory and 0.12 s of processor time to each process start.
  *
  * @module
  */
@@ -18,25 +17,25 @@
 import { parseAddress } from "../settings/address.ts";
 import { monotonicNow } from "./monotonic_clock.ts";
 
-/** How a client keeps its connections. */
+/** Options of the connections of a client. */
 export interface HttpClientOptions {
-  /** Time for a connection to be made, in milliseconds. */
+  /** Connect timeout, in milliseconds. */
   connectTimeout: number;
-  /** Connections to one address. */
+  /** Maximum number of connections to one address. */
   connections: number;
-  /** Longest time for which an idle connection is kept, in milliseconds. */
+  /** Maximum time for which an idle connection is kept, in milliseconds. */
   idleTimeout: number;
 }
 
 /**
- * Bounds on an answer that has begun, in milliseconds. A large one over a small
- * link is not begun anew while its bytes keep coming: that would fill the link and
- * never end.
+ * Timeouts for a response that has begun, in milliseconds. A large response
+ * over a slow link is not restarted while its bytes keep arriving: restarts
+ * would fill the link and never complete.
  */
 export interface Transfer {
-  /** Longest time without a byte. */
+  /** Maximum time without a byte. */
   stall: number;
-  /** Longest time for the whole answer. */
+  /** Maximum time for the whole response. */
   longest: number;
 }
 
@@ -45,38 +44,44 @@
   method: "GET" | "POST";
   /** Path and query. */
   path: string;
-  /** Headers besides those of the body. */
+  /** Headers other than those of the body. */
   headers?: Readonly<Record<string, string>>;
   body?: Buffer | string;
-  /** Time for the whole answer, in milliseconds; with `transfer`, for its
-   * beginning. */
+  /**
+   * Timeout of the whole response, in milliseconds; with `transfer`, of its
+   * first bytes.
+   */
   timeout: number;
-  /** How long an answer may take that has begun. */
+  /** Timeouts for the rest of the response once it has begun. */
   transfer?: Transfer;
-  /** Told when the answer begins to come. */
+  /** Called when the response begins. */
   began?: () => void;
-  /** Gives the call up; its connection is reset. */
+  /** Aborts the call and resets its connection. */
   signal?: AbortSignal;
-  /** Time from now up to which a connection may be opened for it, in
-   * milliseconds; unbounded if left out. One that gets none is not sent and
-   * rejects with a {@linkcode ConnectionLackError}. */
+  /**
+   * Time from now within which the call may open a connection, in milliseconds;
+   * unlimited if omitted. If none is available after that, the call is not sent
+   * and rejects with a {@linkcode ConnectionLackError}.
+   */
   connectWithin?: number;
 }
 
-/** Raised when a call that may open no connection any more finds none. */
+/**
+ * Thrown when a call that may no longer open a connection finds none available.
+ */
 export class ConnectionLackError extends Error {
   private constructor() {
     super("no connection");
   }
 
-  /** An error of one call. */
+  /** Creates an error for one call. */
   static create(): ConnectionLackError {
     return new ConnectionLackError();
   }
 }
 
-/** An answer, whole. */
-export interface HttpAnswer {
+/** A complete response. */
+export interface HttpResponse {
   status: number;
   headers: IncomingHttpHeaders;
   body: Buffer;
@@ -105,20 +110,20 @@
     });
   }
 
-  /** A client without connections. */
+  /** Creates a client without connections. */
   static create(options: HttpClientOptions): HttpClient {
     return new HttpClient(options);
   }
 
   /**
-   * Sends a call and takes its answer. Rejects when it is not answered in time,
-   * its answer stops coming, or its connection ends; a call that is given up
-   * resets its connection, so that bytes still on their way are not delivered
+   * Sends a call and receives its response. Rejects when the response does not
+   * arrive in time, stalls, or its connection closes. A call that is aborted
+   * resets its connection, so that bytes still in transit are not delivered
    * later.
    */
-  send(address: string, call: HttpCall): Promise<HttpAnswer> {
+  send(address: string, call: HttpCall): Promise<HttpResponse> {
     const { method, path, headers, body, timeout, transfer, signal } = call;
-    const type = body === undefined
+    const contentHeaders = body === undefined
       ? {}
       : { "content-type": contentType(body) };
     const { host, port } = parseAddress(address);
@@ -128,66 +133,71 @@
       method,
       path,
       agent: this.#agent,
-      headers: { ...headers, ...type },
+      headers: { ...headers, ...contentHeaders },
       signal,
     });
-    limitConnecting(request, this.options.connectTimeout);
-    refuseConnecting(request, call.connectWithin ?? Infinity);
+    limitConnectTime(request, this.options.connectTimeout);
+    limitConnectStart(request, call.connectWithin ?? Infinity);
     let isTimedOut = false;
-    const timedOut = () => {
+    const onTimeout = () => {
       isTimedOut = true;
-      giveUp(request);
-      this.#dropIdle(host, port);
+      abortRequest(request);
+      this.#closeIdleConnections(host, port);
     };
-    let timer = setTimeout(timedOut, timeout);
+    let timer = setTimeout(onTimeout, timeout);
     request.once("response", (response: IncomingMessage) => {
       call.began?.();
       if (transfer === undefined) return;
       clearTimeout(timer);
-      timer = setTimeout(timedOut, transfer.stall);
-      const latest = monotonicNow() + transfer.longest - transfer.stall;
+      timer = setTimeout(onTimeout, transfer.stall);
+      const latestRefreshAt = monotonicNow() + transfer.longest -
+        transfer.stall;
       response.on("data", () => {
-        if (monotonicNow() <= latest) timer.refresh();
+        if (monotonicNow() <= latestRefreshAt) timer.refresh();
       });
     });
     request.end(body);
-    return takeAnswer(request)
+    return receiveResponse(request)
       .catch((error: Error) => {
         throw isTimedOut ? new Error("no answer") : error;
       })
       .finally(() => clearTimeout(timer));
   }
 
-  /** Ends all connections. */
+  /** Closes all connections. */
   close(): void {
     this.#agent.destroy();
   }
 
   /**
-   * Ends connections to an address that no call uses: where one has gone silent
-   * the others may have too, and each would cost a timeout. Those to other
-   * addresses stay: a busy server makes a new connection wait, so that one
-   * server's silence would let calls to all others time out as well.
+   * Closes idle connections to an address. Where one connection has become
+   * unresponsive the others may have too, and each would cost a timeout.
+   * Connections to other addresses are kept: opening one to a busy server takes
+   * time, so an unresponsive server would cause calls to all others to time out
+   * as well.
    */
-  #dropIdle(host: string, port: number): void {
+  #closeIdleConnections(host: string, port: number): void {
     const name = this.#agent.getName({ host, port });
     for (const socket of this.#agent.freeSockets[name] ?? []) socket.destroy();
   }
 }
 
 /**
- * Ends a request and resets its connection: an orderly end would let the kernel
- * deliver bytes that still wait behind a full link, long after this call failed.
+ * Aborts a request and resets its connection. After an orderly close the kernel
+ * would still deliver bytes queued behind a full link, long after this call
+ * failed.
  */
-function giveUp(request: ClientRequest): void {
+function abortRequest(request: ClientRequest): void {
   const { socket } = request;
   if (socket !== null && !socket.connecting) socket.resetAndDestroy();
   request.destroy();
 }
 
-/** Ends a request that would open a connection once `time` milliseconds have
- * passed, before anything is sent. */
-function refuseConnecting(request: ClientRequest, time: number): void {
+/**
+ * Aborts a request that would open a connection later than `time` milliseconds
+ * from now, before anything is sent.
+ */
+function limitConnectStart(request: ClientRequest, time: number): void {
   const startedAt = monotonicNow();
   request.once("socket", (socket) => {
     if (!socket.connecting || monotonicNow() - startedAt < time) return;
@@ -195,8 +205,14 @@
   });
 }
 
-/** Ends a request whose connection is not made within `timeout` milliseconds. */
-export function limitConnecting(request: ClientRequest, timeout: number): void {
+/**
+ * Aborts a request whose connection is not established within `timeout`
+ * milliseconds.
+ */
+export function limitConnectTime(
+  request: ClientRequest,
+  timeout: number,
+): void {
   request.once("socket", (socket) => {
     if (!socket.connecting) return;
     const timer = setTimeout(
@@ -208,7 +224,7 @@
   });
 }
 
-function takeAnswer(request: ClientRequest): Promise<HttpAnswer> {
+function receiveResponse(request: ClientRequest): Promise<HttpResponse> {
   return new Promise((resolve, reject) => {
     request.on("error", reject);
     request.once("response", (response) => {
--- a/src/runtime/loop_lag.ts
+++ b/src/runtime/loop_lag.ts
@@ -56,7 +56,7 @@
 }
 
 /** Calls back once everything that lies unread on connections was read. */
-export function afterNextRead(callback: () => void): void {
+export function afterPendingReads(callback: () => void): void {
   // The loop reads between two rounds of these; an end that comes with bytes is
   // read one round after them.
   setImmediate(() => setImmediate(() => setImmediate(callback)));
--- a/src/runtime/peer_network.ts
+++ b/src/runtime/peer_network.ts
@@ -1,8 +1,7 @@
 /**
- * Messages between entry processes over TCP. Whoever has something to say to a
- * peer opens a connection, and both use it; each side begins by saying who it
- * is. A lost message is nothing that the core does not
- * expect: what matters is said again.
+ * Messages between entry processes over TCP. The process that sends first opens
+ * a connection and both use it; each side starts with a hello frame. Messages
+ * may be lost: the core repeats whatever matters.
  *
  * @module
  */
@@ -12,49 +11,63 @@
 import { type Journal } from "../logging/index.ts";
 import { parseAddress } from "../settings/index.ts";
 import type { OccurrenceSink } from "./entry_loop.ts";
-import { encodeFrame, FrameDecoder, PROTOCOL } from "./frame.ts";
+import { encodeFrame, FrameDecoder, PROTOCOL_VERSION } from "./frame.ts";
 import { monotonicNow } from "./monotonic_clock.ts";
 import { errorText } from "../errors/index.ts";
 import { listenAt } from "./listen.ts";
 
-/** The first frame of a connection: who speaks. */
+/** First frame of a connection: identifies the sender. */
 const helloSchema = z.object({
   kind: z.literal("hello"),
-  protocol: z.literal(PROTOCOL),
+  protocol: z.literal(PROTOCOL_VERSION),
   vm: z.string(),
   peerAddress: z.string(),
-  /** Whether frames to it may be deflated; VMs that have not been renewed yet leave
-   * it out and take none. */
+  /**
+   * Whether the sender accepts deflated frames. Older versions omit it and
+   * accept none.
+   */
   takesDeflated: z.boolean().optional(),
 });
 
 type Hello = z.infer<typeof helloSchema>;
 
-/** Who this process is towards its peers. */
+/** Identity of this process towards its peers. */
 export interface PeerIdentity {
   vm: string;
   peerAddress: string;
 }
 
-/** Bytes that may wait for one peer before messages to it are dropped. */
-const MAXIMUM_PENDING = 8 * 1024 * 1024;
-/** Time in which a connection must stand, in milliseconds. */
+/**
+ * Maximum number of bytes queued for one peer; further messages to it are
+ * dropped.
+ */
+const MAXIMUM_PENDING_BYTES = 8 * 1024 * 1024;
+/** Connect timeout, in milliseconds. */
 const CONNECT_TIMEOUT = 500;
-/** Pause before a peer that refused is tried again. */
-const RECONNECT_PAUSE = 100;
-/** Time without a word from a peer that was sent something, in milliseconds,
- * after which its connection counts as dead though nothing reset it: the term
- * holder and its followers talk twice a second. */
-const SILENCE = 1_500;
-/** The same while the peer has not said anything over a connection: a new term
- * holder takes those of all VMs, one after the other, and another one in its
- * place would only wait behind them. */
-const FIRST_SILENCE = 4_000;
-/** Time after which a connection that neither side uses is closed, in
- * milliseconds; one that died in silence leaves its other end behind. */
+/**
+ * Delay before reconnecting to a peer after a failed attempt, in milliseconds.
+ */
+const RECONNECT_DELAY = 100;
+/**
+ * Time without any bytes from a peer after a message to it, in milliseconds,
+ * after which its connection counts as lost even without a reset. The term
+ * holder and its followers exchange messages twice a second.
+ */
+const RESPONSE_TIMEOUT = 1_500;
+/**
+ * The same before the peer has sent its first bytes on a connection. A new term
+ * holder accepts the connections of all VMs one after the other, and a
+ * replacement connection would only queue behind them.
+ */
+const FIRST_RESPONSE_TIMEOUT = 4_000;
+/**
+ * Time after which a connection without traffic is closed, in milliseconds. A
+ * connection that was lost without a reset stays open at its other end until
+ * then.
+ */
 const IDLE_TIMEOUT = 10_000;
 
-/** Counts of what went over the network. */
+/** Counts of the network's traffic. */
 export interface PeerTraffic {
   messagesSent: number;
   bytesSent: number;
@@ -67,19 +80,21 @@
 /** See the module's comment. */
 export class PeerNetwork {
   readonly #server: Server;
-  /** The connection to use for each peer, by the peer's address. */
+  /** The connection that is used for each peer, by the peer's address. */
   readonly #connections = new Map<string, Socket>();
   readonly #sockets = new Set<Socket>();
   readonly #refusedAt = new Map<string, number>();
-  /** When the first message was sent since the peer was heard last. */
+  /** When the first message was sent since the last bytes from the peer. */
   readonly #unansweredSince = new Map<Socket, number>();
-  /** Connections over which the peer has said something. */
-  readonly #heard = new WeakSet<Socket>();
-  /** Connections whose peer takes deflated frames. */
-  readonly #deflating = new WeakSet<Socket>();
-  /** Frames of messages that go to several peers: plain, and deflated for those
-   * that take it. */
-  readonly #frames = new WeakMap<PeerMessage, Map<boolean, Buffer>>();
+  /** Connections on which the peer has sent bytes. */
+  readonly #responsive = new WeakSet<Socket>();
+  /** Connections whose peer accepts deflated frames. */
+  readonly #deflateCapable = new WeakSet<Socket>();
+  /**
+   * Encoded frames of messages that are sent to several peers, by whether they
+   * may be deflated.
+   */
+  readonly #encodedFrames = new WeakMap<PeerMessage, Map<boolean, Buffer>>();
   readonly traffic: PeerTraffic = {
     messagesSent: 0,
     bytesSent: 0,
@@ -91,52 +106,54 @@
   private constructor(
     private readonly identity: PeerIdentity,
     private readonly sink: OccurrenceSink,
-    private readonly journal: Journal,
+    private readonly logger: Journal,
   ) {
-    this.#server = createServer((socket) => this.#attach(socket));
+    this.#server = createServer((socket) => this.#addSocket(socket));
   }
 
-  /** A network of which this process is `identity`. */
+  /** Creates a network for the process `identity`. */
   static create(
     identity: PeerIdentity,
     sink: OccurrenceSink,
-    journal: Journal,
+    logger: Journal,
   ): PeerNetwork {
-    return new PeerNetwork(identity, sink, journal);
+    return new PeerNetwork(identity, sink, logger);
   }
 
-  /** Accepts peers. Rejects when the address is in use. */
+  /** Accepts peers. Rejects if the address is in use. */
   listen(): Promise<void> {
     return listenAt(this.#server, this.identity.peerAddress);
   }
 
-  /** Sends a message, or drops it when the peer cannot be reached. */
+  /** Sends a message, or drops it if the peer cannot be reached. */
   send(address: string, message: PeerMessage): void {
     const socket = this.#liveConnection(address);
-    if (socket === null || socket.writableLength > MAXIMUM_PENDING) {
+    if (socket === null || socket.writableLength > MAXIMUM_PENDING_BYTES) {
       this.traffic.dropped += 1;
       return;
     }
-    const frame = this.#encode(message, this.#deflating.has(socket));
+    const frame = this.#encode(message, this.#deflateCapable.has(socket));
     this.traffic.messagesSent += 1;
     this.traffic.bytesSent += frame.length;
     const { bytesByKind } = this.traffic;
-    const before = bytesByKind.get(message.kind) ?? 0;
-    bytesByKind.set(message.kind, before + frame.length);
+    const previousBytes = bytesByKind.get(message.kind) ?? 0;
+    bytesByKind.set(message.kind, previousBytes + frame.length);
     if (!this.#unansweredSince.has(socket)) {
       this.#unansweredSince.set(socket, monotonicNow());
     }
     socket.write(frame);
   }
 
-  /** A connection on which the peer has not gone silent. */
+  /** A connection on which the peer has responded in time, or null. */
   #liveConnection(address: string): Socket | null {
     const socket = this.#connection(address);
     if (socket === null) return null;
     const since = this.#unansweredSince.get(socket) ?? Infinity;
-    const patience = this.#heard.has(socket) ? SILENCE : FIRST_SILENCE;
-    if (monotonicNow() - since <= patience) return socket;
-    this.journal.write("warn", "peer.silent", {
+    const timeout = this.#responsive.has(socket)
+      ? RESPONSE_TIMEOUT
+      : FIRST_RESPONSE_TIMEOUT;
+    if (monotonicNow() - since <= timeout) return socket;
+    this.logger.write("warn", "peer.silent", {
       step: "send to peer",
       peer: address,
       silence: Math.round(monotonicNow() - since),
@@ -146,10 +163,11 @@
     return this.#connection(address);
   }
 
-  /** The frame of a message; one that goes to many is encoded once. */
+  /** The frame of a message. A message to many peers is encoded once. */
   #encode(message: PeerMessage, mayDeflate: boolean): Buffer {
-    const frames = this.#frames.get(message) ?? new Map<boolean, Buffer>();
-    this.#frames.set(message, frames);
+    const frames = this.#encodedFrames.get(message) ??
+      new Map<boolean, Buffer>();
+    this.#encodedFrames.set(message, frames);
     const frame = frames.get(mayDeflate) ?? encodeFrame(message, mayDeflate);
     frames.set(mayDeflate, frame);
     return frame;
@@ -162,22 +180,22 @@
   }
 
   #connection(address: string): Socket | null {
-    const known = this.#connections.get(address);
-    if (known !== undefined) return known;
+    const existing = this.#connections.get(address);
+    if (existing !== undefined) return existing;
     const refusedAt = this.#refusedAt.get(address) ?? -Infinity;
-    if (monotonicNow() < refusedAt + RECONNECT_PAUSE) return null;
+    if (monotonicNow() < refusedAt + RECONNECT_DELAY) return null;
     const socket = new Socket();
     const { host, port } = parseAddress(address);
     socket.setTimeout(CONNECT_TIMEOUT);
     socket.on("error", () => this.#refusedAt.set(address, monotonicNow()));
     socket.connect({ host, port });
-    this.#attach(socket);
-    this.#use(address, socket);
+    this.#addSocket(socket);
+    this.#setConnection(address, socket);
     return socket;
   }
 
-  /** Says who this process is, and takes in what the other side says. */
-  #attach(socket: Socket): void {
+  /** Sends this process's hello and handles the frames of the other side. */
+  #addSocket(socket: Socket): void {
     const decoder = FrameDecoder.create();
     let hello: Hello | null = null;
     this.#sockets.add(socket);
@@ -193,35 +211,37 @@
     socket.on("error", () => socket.destroy());
     socket.on("data", (bytes) => {
       this.traffic.bytesReceived += bytes.length;
-      this.#heard.add(socket);
+      this.#responsive.add(socket);
       this.#unansweredSince.delete(socket);
       try {
         for (const value of decoder.push(bytes)) {
           if (hello === null) {
             hello = helloSchema.parse(value);
-            this.#use(hello.peerAddress, socket);
-            if (hello.takesDeflated) this.#deflating.add(socket);
+            this.#setConnection(hello.peerAddress, socket);
+            if (hello.takesDeflated) this.#deflateCapable.add(socket);
           } else {
             this.#receive(hello, value);
           }
         }
       } catch (error) {
-        this.#cutOff(socket, hello, error);
+        this.#rejectConnection(socket, hello, error);
       }
     });
     const { vm, peerAddress } = this.identity;
-    const own: Hello = {
+    const ownHello: Hello = {
       kind: "hello",
-      protocol: PROTOCOL,
+      protocol: PROTOCOL_VERSION,
       vm,
       peerAddress,
       takesDeflated: true,
     };
-    socket.write(encodeFrame(own));
+    socket.write(encodeFrame(ownHello));
   }
 
-  /** Sends to the peer at `address` over this connection from here on. */
-  #use(address: string, socket: Socket): void {
+  /**
+   * Uses this connection for messages to the peer at `address` from now on.
+   */
+  #setConnection(address: string, socket: Socket): void {
     if (this.#connections.get(address) === socket) return;
     this.#connections.set(address, socket);
     socket.on("close", () => {
@@ -238,11 +258,11 @@
     });
   }
 
-  #cutOff(socket: Socket, hello: Hello | null, error: unknown): void {
-    // A socket that is destroyed no longer knows its other side.
+  #rejectConnection(socket: Socket, hello: Hello | null, error: unknown): void {
+    // A destroyed socket no longer has a remote address.
     const address = `${socket.remoteAddress}:${socket.remotePort}`;
     socket.destroy();
-    this.journal.write("warn", "peer.cut_off", {
+    this.logger.write("warn", "peer.cut_off", {
       step: "receive from peer",
       peer: hello?.vm ?? address,
       why: errorText(error).slice(0, 500),
--- a/src/runtime/store_link.ts
+++ b/src/runtime/store_link.ts
@@ -1,5 +1,5 @@
 /**
- * Carries out the core's calls to the store and reports how each ended.
+ * Executes the core's calls to the store and reports the result of each.
  *
  * @module
  */
@@ -20,7 +20,7 @@
 import type { ControlStore, RecordsRead } from "./control_store.ts";
 import type { OccurrenceSink } from "./entry_loop.ts";
 import type { EntryMetrics } from "./entry_metrics.ts";
-import { RecordFaults } from "./record_faults.ts";
+import { DecodeFailureLog } from "./decode_failure_log.ts";
 
 /** See the module's comment. */
 export class StoreLink {
@@ -28,28 +28,31 @@
     private readonly store: ControlStore,
     private readonly timeToLive: number,
     private readonly sink: OccurrenceSink,
-    private readonly registryFaults: RecordFaults,
-    private readonly recordFaults: RecordFaults,
+    private readonly registryFailures: DecodeFailureLog,
+    private readonly recordFailures: DecodeFailureLog,
   ) {}
 
-  /** Calls `store`; members of the group live `timeToLive` ms without a call. */
+  /**
+   * Calls `store`; a member of a group expires `timeToLive` milliseconds after
+   * its last call.
+   */
   static create(
     store: ControlStore,
     timeToLive: number,
     sink: OccurrenceSink,
-    journal: Journal,
+    logger: Journal,
     metrics: EntryMetrics,
   ): StoreLink {
     return new StoreLink(
       store,
       timeToLive,
       sink,
-      RecordFaults.create("servers", journal, metrics),
-      RecordFaults.create("ownership", journal, metrics),
+      DecodeFailureLog.create("servers", logger, metrics),
+      DecodeFailureLog.create("ownership", logger, metrics),
     );
   }
 
-  /** Joins a group or stays in it. */
+  /** Joins a group or renews the membership. */
   async join({ group, generation }: GroupJoin): Promise<void> {
     const sentAt = monotonicNow();
     try {
@@ -64,7 +67,7 @@
         membership: { ...membership, group, sentAt },
       });
     } catch (error) {
-      this.#failed(MEMBERSHIP_STEP, error);
+      this.#reportFailure(MEMBERSHIP_STEP, error);
       this.sink.push({ kind: "group.failed" });
     }
   }
@@ -74,11 +77,11 @@
     try {
       await this.store.leave(group);
     } catch (error) {
-      this.#failed("leave the group", error);
+      this.#reportFailure("leave the group", error);
     }
   }
 
-  /** Reads what term holders have recorded. */
+  /** Reads the records of term holders. */
   async readRecords(): Promise<void> {
     const sentAt = monotonicNow();
     try {
@@ -89,7 +92,7 @@
         records: isTermKnown ? records : null,
       });
     } catch (error) {
-      this.#failed("read assignments", error);
+      this.#reportFailure("read assignments", error);
       this.sink.push({ kind: "term.read", records: null });
     }
   }
@@ -103,7 +106,9 @@
     this.sink.push({ kind: "term.claimed", term, outcome });
   }
 
-  /** Tells all VMs that this one, reached at `address`, holds the term. */
+  /**
+   * Announces to all VMs that this one, reachable at `address`, holds the term.
+   */
   async announce(
     { term, fitness }: HolderAnnouncement,
     address: string,
@@ -111,7 +116,7 @@
     try {
       await this.store.announceHolder(term, address, fitness);
     } catch (error) {
-      this.#failed("announce the holder", error);
+      this.#reportFailure("announce the holder", error);
     }
   }
 
@@ -124,7 +129,7 @@
       this.sink.push({ kind: "store.answered", sentAt });
       this.sink.push({ kind: "assignments.read", assignments });
     } catch (error) {
-      this.#failed("fetch assignments", error);
+      this.#reportFailure("fetch assignments", error);
     }
   }
 
@@ -133,11 +138,11 @@
     const sentAt = monotonicNow();
     try {
       const read = await this.store.readServers(from);
-      this.registryFaults.take(read);
+      this.registryFailures.update(read);
       this.sink.push({ kind: "store.answered", sentAt });
       this.sink.push({ kind: "servers.read", read, sentAt });
     } catch (error) {
-      this.#failed("read the registry", error);
+      this.#reportFailure("read the registry", error);
       const isExpired = this.store.isExpired(error);
       this.sink.push({ kind: "servers.failed", isExpired });
     }
@@ -152,10 +157,10 @@
     this.sink.push({ kind: "assignments.written", term, outcome });
   }
 
-  /** Records what is held back. */
+  /** Records quarantined requests. */
   async writeQuarantine({ records }: QuarantineWrite): Promise<void> {
     const outcome = await this.#write(
-      "record what is held back",
+      "record quarantined requests",
       () => this.store.writeQuarantine(records),
     );
     const isDone = outcome === "done";
@@ -164,7 +169,7 @@
 
   async #readRecords(): Promise<RecordsRead> {
     const read = await this.store.readRecords();
-    this.recordFaults.take(read);
+    this.recordFailures.update(read);
     return read;
   }
 
@@ -178,12 +183,12 @@
       this.sink.push({ kind: "store.answered", sentAt });
       return "done";
     } catch (error) {
-      this.#failed(step, error);
+      this.#reportFailure(step, error);
       return this.store.isConflict(error) ? "superseded" : "again";
     }
   }
 
-  #failed(step: string, error: unknown): void {
+  #reportFailure(step: string, error: unknown): void {
     this.sink.push({ kind: "store.failed", step, cause: errorText(error) });
   }
 }
