--- a/src/runtime/admin_server.ts
+++ b/src/runtime/admin_server.ts
@@ -1,5 +1,5 @@
 /**
- * Tells operators what the process counts and believes.
+ * HTTP server for operators: metrics and the status of the process.
  *
  * @module
  */
@@ -18,11 +18,13 @@
   ) {
     this.#server = createServer((request, response) => {
       request.resume();
-      this.#answer(request.url ?? "/", response);
+      this.#respond(request.url ?? "/", response);
     });
   }
 
-  /** A server of `metrics` and of what `readStatus` returns. */
+  /**
+   * Creates a server of `metrics` and of the status that `readStatus` returns.
+   */
   static create(
     metrics: EntryMetrics,
     readStatus: () => EntryStatus,
@@ -30,18 +32,18 @@
     return new AdminServer(metrics, readStatus);
   }
 
-  /** Answers at `address`. Rejects when it cannot be had. */
+  /** Listens at `address`. Rejects if it cannot. */
   listen(address: string): Promise<void> {
     return listenAt(this.#server, address);
   }
 
-  /** Ends all connections. */
+  /** Closes the server and all its connections. */
   close(): void {
     this.#server.close();
     this.#server.closeAllConnections();
   }
 
-  #answer(path: string, response: ServerResponse): void {
+  #respond(path: string, response: ServerResponse): void {
     if (path === "/metrics") {
       response.writeHead(200, { "content-type": "text/plain; version=0.0.4" });
       response.end(this.metrics.render());
--- a/src/runtime/caller_server.ts
+++ b/src/runtime/caller_server.ts
@@ -55,7 +55,7 @@
  * half a second for callers that have disconnected.
  */
 const MAXIMUM_FRESH_AGE = 150;
-const SECOND = 1_000;
+const MILLISECONDS_PER_SECOND = 1_000;
 
 /**
  * Errors of a connection that its caller has closed, in the middle of a request
@@ -241,7 +241,10 @@
   refuse({ exchange, status, retryAfter, reason }: Refusal): void {
     const headers = ["Content-Type", "text/plain"];
     if (retryAfter !== null) {
-      headers.push("Retry-After", (retryAfter / SECOND).toFixed(3));
+      headers.push(
+        "Retry-After",
+        (retryAfter / MILLISECONDS_PER_SECOND).toFixed(3),
+      );
     }
     const body = Buffer.from(`plumloft: ${reason}\n`);
     this.#respond(exchange, status, "", headers, body, true);
--- a/src/runtime/control_store.ts
+++ b/src/runtime/control_store.ts
@@ -1,6 +1,7 @@
 /**
- * The store that outlives every process: configuration, the registry of backend
- * servers, assignments of keys, and the group of entry processes.
+ * Interface of the persistent store: configuration, the registry of backend
+ * servers, assignments of keys, and membership of the groups of entry
+ * processes.
  *
  * @module
  */
@@ -10,107 +11,126 @@
 import type { CrashRecord } from "../core/quarantine/index.ts";
 import type { RegistryRead } from "../core/registry/index.ts";
 
-/** What is followed in the store. */
+/** Feeds of the store that a process follows. */
 export type Feed = "configuration" | "holder";
 
-/** A record that did not decode. */
+/** A record that could not be decoded. */
 export interface RecordFault {
-  /** Its key; empty where that cannot be read either. */
+  /** Key of the record; empty if the key cannot be decoded either. */
   key: string;
   reason: string;
 }
 
-/** How the records of a read decoded. */
+/** Result of decoding the records of a read. */
 export interface DecodedRead {
   faults: RecordFault[];
-  /** Keys of the records that decoded or were removed. */
+  /** Keys of records that were decoded or removed. */
   sound: string[];
-  /** Whether the read holds all that is current. */
+  /** Whether the read contains all current records. */
   isWhole: boolean;
 }
 
-/** What a read brought. */
+/** Result of a read of a feed. */
 export interface StoreRead extends DecodedRead {
   occurrences: Occurrence[];
-  /** Position to read on from. */
+  /** Position from which to continue. */
   next: number;
 }
 
-/** What a read of the registry brought. */
+/** Result of a read of the registry. */
 export interface ServersRead extends RegistryRead, DecodedRead {}
 
-/** What term holders have recorded. */
+/** Result of a read of the term holders' records. */
 export interface RecordsRead extends DecodedRead {
   records: Records;
-  /** Whether `records` names the newest term, so that the next may be claimed. */
+  /**
+   * Whether `records` contains the newest term, so that the next one may be
+   * claimed.
+   */
   isTermKnown: boolean;
 }
 
-/** The answer to a membership call. */
+/** Response to a membership call. */
 export interface GroupMembership {
   generation: number;
   isElected: boolean;
 }
 
-/** The configuration that operators published last. */
+/** The most recently published configuration. */
 export interface PublishedConfiguration {
   configuration: Configuration | null;
   end: number;
 }
 
-/** See the module's comment. All calls reject with an error that carries step
- * and peer. */
+/**
+ * See the module's comment. All calls reject with an error that names step and
+ * peer.
+ */
 export abstract class ControlStore {
-  /** Reads all that is current. */
+  /** Reads all current records. */
   abstract readAll(feed: Feed): Promise<StoreRead>;
   /**
-   * Reads what was written from a position on; with `wait` milliseconds, waits
-   * that long for the next record.
+   * Reads the records from a position on. With a positive `wait`, waits up to
+   * that many milliseconds for the next record.
    */
   abstract readOn(feed: Feed, from: number, wait: number): Promise<StoreRead>;
-  /** Reads the registry from a position on, or the whole of it (null). */
+  /** Reads the registry from a position on, or completely (null). */
   abstract readServers(from: number | null): Promise<ServersRead>;
-  /** Joins a group, or stays in it for `timeToLive` milliseconds. */
+  /**
+   * Joins a group or renews the membership, which expires after `timeToLive`
+   * milliseconds.
+   */
   abstract join(
     group: Group,
     generation: number,
     timeToLive: number,
   ): Promise<GroupMembership>;
-  /** Leaves a group at once. */
+  /** Leaves a group immediately. */
   abstract leave(group: Group): Promise<void>;
-  /** Reads all that term holders have recorded; assignments that do not decode
-   * stand in `records` as ones that give all keys to servers unknown. */
+  /**
+   * Reads all records of term holders. An assignment that cannot be decoded is
+   * replaced in `records` by one that assigns all keys to unknown servers.
+   */
   abstract readRecords(): Promise<RecordsRead>;
-  /** Claims a term if the record ends at `end` and no newer one was claimed. */
+  /**
+   * Claims a term if the record still ends at `end` and no newer term was
+   * claimed.
+   */
   abstract claimTerm(term: number, end: number): Promise<void>;
-  /** Records assignments; refused when a newer term was claimed. */
+  /** Records assignments; rejects if a newer term was claimed. */
   abstract writeAssignments(
     term: number,
     sequence: number,
     assignments: readonly Assignment[],
   ): Promise<void>;
-  /** Tells all VMs that this one holds `term` and is reached at `address`;
-   * `fitness` is that of the fittest VM it hears of. */
+  /**
+   * Announces to all VMs that this one holds `term` and is reachable at
+   * `address`. `fitness` is the highest fitness among the VMs known to it.
+   */
   abstract announceHolder(
     term: number,
     address: string,
     fitness: number,
   ): Promise<void>;
-  /** Keeps what is held back, for VMs that start. */
+  /** Records quarantined requests, for VMs that start later. */
   abstract writeQuarantine(records: readonly CrashRecord[]): Promise<void>;
-  /** Resolves once the store has answered a short call after one that failed, at
-   * the latest after `patience` milliseconds; at once while none has failed. */
-  abstract reached(patience: number): Promise<void>;
-  /** Reads the configuration in force, and where its record ends. */
+  /**
+   * Resolves when a short call succeeds after the last failed one, at the
+   * latest after `timeout` milliseconds; immediately if no call has failed.
+   */
+  abstract reached(timeout: number): Promise<void>;
+  /** Reads the current configuration and the end of its record. */
   abstract readConfiguration(): Promise<PublishedConfiguration>;
   /** Publishes a configuration if its record still ends at `end`. */
   abstract publish(configuration: Configuration, end: number): Promise<void>;
-  /** Asks to evacuate an availability zone, or takes that back. */
+  /**
+   * Requests the evacuation of an availability zone, or withdraws the request.
+   */
   abstract evacuate(zone: string, isEvacuated: boolean): Promise<void>;
-  /** Whether a read failed since its records are no longer kept. */
+  /** Whether a read failed because its records have expired. */
   abstract isExpired(error: unknown): boolean;
-  /** Whether a condition of a call did not hold, so that it was not done. */
+  /** Whether a call was not executed because its condition did not hold. */
   abstract isConflict(error: unknown): boolean;
-  /** Ends all connections. */
+  /** Closes all connections. */
   abstract close(): void;
 }
--- a/src/runtime/effect_runner.ts
+++ b/src/runtime/effect_runner.ts
@@ -95,9 +95,9 @@
       case "connections.close":
         return backends.closeConnections(effect.server);
       case "readiness.set":
-        return readiness.set(effect.isReady);
+        return readiness.setReady(effect.isReady);
       case "callers.drain":
-        readiness.set(false);
+        readiness.setReady(false);
         return callers.drain();
       case "callers.close":
         return this.#closeCallers();
--- a/src/runtime/entry_metrics.ts
+++ b/src/runtime/entry_metrics.ts
@@ -6,25 +6,25 @@
  */
 import { Latencies } from "../metrics/latencies.ts";
 
-/** Gauges that are read when metrics are asked for. */
+/** Returns the current gauges; called when metrics are rendered. */
 export type GaugeReader = () => Record<string, number>;
 
 /** See the module's comment. */
 export class EntryMetrics {
-  readonly #counts = new Map<string, number>();
+  readonly #counters = new Map<string, number>();
   readonly #latencies = new Map<string, Latencies>();
 
   private constructor(private readonly readGauges: GaugeReader) {}
 
-  /** Metrics that all stand at zero. */
+  /** Creates metrics without any counts. */
   static create(readGauges: GaugeReader): EntryMetrics {
     return new EntryMetrics(readGauges);
   }
 
-  /** Counts something; `labels` as in `status="200"`. */
+  /** Increments a counter; `labels` as in `status="200"`. */
   count(name: string, labels = ""): void {
     const key = labels === "" ? name : `${name}{${labels}}`;
-    this.#counts.set(key, (this.#counts.get(key) ?? 0) + 1);
+    this.#counters.set(key, (this.#counters.get(key) ?? 0) + 1);
   }
 
   /** Records a duration in milliseconds. */
@@ -37,17 +37,19 @@
     latencies.record(milliseconds);
   }
 
-  /** An answer went to a caller; `isOwn` when it is plumloft's. */
+  /**
+   * Records a response to a caller; `isOwn` if plumloft itself produced it.
+   */
   answered(status: number, isOwn: boolean, milliseconds: number): void {
     const source = isOwn ? "plumloft" : "server";
     this.count("requests_total", `status="${status}",source="${source}"`);
     this.observe("request_milliseconds", milliseconds);
   }
 
-  /** All metrics as text. */
+  /** Renders all metrics as text. */
   render(): string {
     const lines: string[] = [];
-    for (const [key, count] of this.#counts) {
+    for (const [key, count] of this.#counters) {
       lines.push(`plumloft_${key} ${count}`);
     }
     for (const [name, value] of Object.entries(this.readGauges())) {
--- a/src/runtime/frame.ts
+++ b/src/runtime/frame.ts
@@ -1,95 +1,112 @@
 /**
- * Frames between peers: four bytes of length, most significant first, then one
- * value in CBOR. The highest bit of the length says that the value is deflated.
+ * Frames between peers: a length of four bytes, most significant first, then
+ * one CBOR value. The highest bit of the length marks a deflated value.
  *
  * @module
  */
 import { deflateRawSync, inflateRawSync } from "node:zlib";
 import { Encoder } from "cbor-x";
 
-/** Bytes of the length. */
-const HEADER = 4;
-/** Bit of the length that says that the value is deflated. */
-const DEFLATED = 0x8000_0000;
-/** Largest frame that is accepted, in bytes, also once it is inflated. */
-export const MAXIMUM_FRAME = 16 * 1024 * 1024;
-/** Smallest value that is deflated, in bytes: below it what is saved is less than a
- * packet. */
-const DEFLATE_FROM = 4_096;
-/** The fastest level: names that repeat make most of a large message, and all levels
- * find them. */
+/** Size of the length field, in bytes. */
+const HEADER_LENGTH = 4;
+/** Bit of the length field that marks a deflated value. */
+const DEFLATED_FLAG = 0x8000_0000;
+/** Maximum length of an accepted value, in bytes, deflated and inflated. */
+export const MAXIMUM_FRAME_LENGTH = 16 * 1024 * 1024;
+/**
+ * Minimum length of a value that is deflated, in bytes. Below it the saving is
+ * less than a packet.
+ */
+const DEFLATE_THRESHOLD = 4_096;
+/**
+ * The fastest level: most of a large message is repeated names, which every
+ * level compresses.
+ */
 const DEFLATE_LEVEL = 1;
 
-/** Number of the protocol between processes. */
+/** Version of the protocol between processes. */
 export const PROTOCOL_VERSION = 2;
 
 const codec = new Encoder({ useRecords: false });
 
-/** A value as one frame, for peers that take deflated ones or for all. */
+/**
+ * Encodes a value as one frame. Only peers that accept deflated frames can
+ * decode it if `mayDeflate`.
+ */
 export function encodeFrame(
   value: { kind: string },
   mayDeflate = false,
 ): Buffer {
   const body = codec.encode(value);
-  if (!mayDeflate || body.length < DEFLATE_FROM) return frame(body, 0);
-  return frame(deflateRawSync(body, { level: DEFLATE_LEVEL }), DEFLATED);
+  if (!mayDeflate || body.length < DEFLATE_THRESHOLD) return frameOf(body, 0);
+  return frameOf(
+    deflateRawSync(body, { level: DEFLATE_LEVEL }),
+    DEFLATED_FLAG,
+  );
 }
 
-function frame(body: Buffer, flag: number): Buffer {
-  const header = Buffer.allocUnsafe(HEADER);
+function frameOf(body: Buffer, flag: number): Buffer {
+  const header = Buffer.allocUnsafe(HEADER_LENGTH);
   header.writeUInt32BE(flag + body.length, 0);
   return Buffer.concat([header, body]);
 }
 
-/** Takes frames out of a stream of bytes. */
+/** Decodes frames from a stream of bytes. */
 export class FrameDecoder {
   #chunks: Buffer[] = [];
-  /** Bytes in the chunks. */
-  #length = 0;
-  /** Bytes that the frame at the front needs, as far as is known. */
-  #needed = HEADER;
+  /** Total length of the chunks, in bytes. */
+  #bufferedLength = 0;
+  /** Number of bytes needed for the first frame, as far as known. */
+  #requiredLength = HEADER_LENGTH;
 
   private constructor() {}
 
-  /** A decoder at the start of a stream. */
+  /** Creates a decoder at the start of a stream. */
   static create(): FrameDecoder {
     return new FrameDecoder();
   }
 
-  /** The values that are complete now. Throws on what is not a frame. */
+  /**
+   * Adds bytes and returns the values that are now complete. Throws on an
+   * invalid frame.
+   */
   push(bytes: Buffer): unknown[] {
     this.#chunks.push(bytes);
-    this.#length += bytes.length;
+    this.#bufferedLength += bytes.length;
     const values: unknown[] = [];
-    // Chunks are joined only once a frame is whole: a large one comes in hundreds.
-    while (this.#length >= this.#needed) {
+    // Chunks are concatenated only when a frame is complete: a large one
+    // arrives in hundreds of chunks.
+    while (this.#bufferedLength >= this.#requiredLength) {
       const pending = this.#chunks.length === 1
         ? this.#chunks[0]
         : Buffer.concat(this.#chunks);
       this.#chunks = [pending];
-      const head = pending.readUInt32BE(0);
-      const isDeflated = head >= DEFLATED;
-      const end = HEADER + (isDeflated ? head - DEFLATED : head);
-      refuseOverlong(end - HEADER);
-      this.#needed = end;
-      if (this.#length < end) break;
-      values.push(decodeBody(pending.subarray(HEADER, end), isDeflated));
+      const lengthField = pending.readUInt32BE(0);
+      const isDeflated = lengthField >= DEFLATED_FLAG;
+      const end = HEADER_LENGTH +
+        (isDeflated ? lengthField - DEFLATED_FLAG : lengthField);
+      checkLength(end - HEADER_LENGTH);
+      this.#requiredLength = end;
+      if (this.#bufferedLength < end) break;
+      values.push(decodeBody(pending.subarray(HEADER_LENGTH, end), isDeflated));
       this.#chunks = [pending.subarray(end)];
-      this.#length -= end;
-      this.#needed = HEADER;
+      this.#bufferedLength -= end;
+      this.#requiredLength = HEADER_LENGTH;
     }
     return values;
   }
 }
 
-function refuseOverlong(length: number): void {
-  if (length <= MAXIMUM_FRAME) return;
+function checkLength(length: number): void {
+  if (length <= MAXIMUM_FRAME_LENGTH) return;
   throw new RangeError(
-    `expected a frame of at most ${MAXIMUM_FRAME} bytes, found ${length}`,
+    `expected a frame of at most ${MAXIMUM_FRAME_LENGTH} bytes, found ${length}`,
   );
 }
 
 function decodeBody(body: Buffer, isDeflated: boolean): unknown {
   if (!isDeflated) return codec.decode(body);
-  return codec.decode(inflateRawSync(body, { maxOutputLength: MAXIMUM_FRAME }));
+  return codec.decode(
+    inflateRawSync(body, { maxOutputLength: MAXIMUM_FRAME_LENGTH }),
+  );
 }
--- a/src/runtime/frame_test.ts
+++ b/src/runtime/frame_test.ts
@@ -1,6 +1,6 @@
 import test from "ava";
 import fc from "fast-check";
-import { encodeFrame, FrameDecoder, MAXIMUM_FRAME } from "./frame.ts";
+import { encodeFrame, FrameDecoder, MAXIMUM_FRAME_LENGTH } from "./frame.ts";
 
 const count = fc.nat();
 
@@ -59,15 +59,15 @@
 });
 
 test("frames: one that is over-long once it is inflated is refused", (t) => {
-  const value = { kind: "told", text: "x".repeat(MAXIMUM_FRAME) };
+  const value = { kind: "told", text: "x".repeat(MAXIMUM_FRAME_LENGTH) };
   const bytes = encodeFrame(value, true);
-  t.true(bytes.length < MAXIMUM_FRAME / 100);
+  t.true(bytes.length < MAXIMUM_FRAME_LENGTH / 100);
   t.throws(() => FrameDecoder.create().push(bytes));
 });
 
 test("frames: one that is over-long is refused before it is read", (t) => {
   const header = Buffer.alloc(4);
-  header.writeUInt32BE(MAXIMUM_FRAME + 1, 0);
+  header.writeUInt32BE(MAXIMUM_FRAME_LENGTH + 1, 0);
   const error = t.throws(() => FrameDecoder.create().push(header));
   t.snapshot(error?.message);
 });
--- a/src/runtime/header_codec.ts
+++ b/src/runtime/header_codec.ts
@@ -1,51 +1,57 @@
 /**
- * What the headers of requests and answers say, whatever they are called on the
- * wire.
+ * Interface that maps between HTTP headers and the information they carry.
  *
  * @module
  */
 import type { IncomingHttpHeaders } from "node:http";
 import type { ReportedLoad } from "../core/fleet/index.ts";
 
-/** What a caller says of its request besides method, path and body. */
+/** Information about a request besides method, path and body. */
 export interface CallerFacts {
-  /** Id of the request; empty when the caller names none. */
+  /** Id of the request; empty if the caller sends none. */
   id: string;
-  /** Milliseconds for which it waits, or null. */
+  /** Time for which the caller waits, in milliseconds, or null. */
   timeout: number | null;
   key: number | null;
 }
 
-/** What a server's answer says of itself. */
+/** Information that a server's response carries in its headers. */
 export interface AnswerFacts {
   /** The server states that it did not run the request. */
   isNotRun: boolean;
-  /** The answer is the server's own and for this request. */
+  /** The response comes from the server itself and belongs to this request. */
   isGenuine: boolean;
-  /** The answer does not name another request. */
+  /** The response does not name another request. */
   isOwnExchange: boolean;
-  /** Id of the server, if it is given. */
+  /** Id of the server, if present. */
   server: string | null;
   load: ReportedLoad | null;
-  /** Maximum requests per second that the server accepts from all VMs combined; null if
-   * it states no limit, undefined if the value is invalid. */
+  /**
+   * Maximum requests per second that the server accepts from all VMs combined;
+   * null if it states no limit, undefined if the value is invalid.
+   */
   rateLimit: number | null | undefined;
 }
 
-/** Translates between headers and what they mean. */
+/** See the module's comment. */
 export abstract class HeaderCodec {
-  /** Headers of a caller, for callers of our own. */
+  /** Request headers for plumloft's own callers. */
   abstract forCaller(facts: CallerFacts): Record<string, string>;
-  /** Reads a caller's headers. */
+  /** Reads the headers of a caller's request. */
   abstract readCaller(headers: IncomingHttpHeaders): CallerFacts;
-  /** Whether a caller's header of this lower-case name is not passed on. */
+  /**
+   * Whether a request header with this lower-case name is internal and not
+   * forwarded.
+   */
   abstract isOwn(name: string): boolean;
   /**
-   * Headers, as names and values in turn, for a request that only `server` may
-   * run and whose answer is awaited for `remaining` milliseconds.
+   * Headers, as alternating names and values, for a request that only `server`
+   * may run and whose response is awaited for `remaining` milliseconds.
    */
   abstract forServer(server: string, remaining: number): string[];
-  /** Reads the head of a server's answer to the request `requestId`. */
+  /**
+   * Reads status and headers of a server's response to the request `requestId`.
+   */
   abstract readAnswer(
     status: number,
     headers: IncomingHttpHeaders,
--- a/src/runtime/listen.ts
+++ b/src/runtime/listen.ts
@@ -1,15 +1,18 @@
 /**
- * Lets a server listen at an address of the settings.
+ * Starts servers at addresses of the settings.
  *
  * @module
  */
 import type { Server } from "node:net";
 import { parseAddress } from "../settings/address.ts";
 
-/** Connections that may wait to be accepted; many callers come at once. */
+/**
+ * Maximum number of connections that wait to be accepted. Many callers connect
+ * at the same time.
+ */
 const BACKLOG = 1_024;
 
-/** Listens at `address`, or rejects when it cannot be had. */
+/** Listens at `address`. Rejects if it cannot. */
 export function listenAt(server: Server, address: string): Promise<void> {
   const { host, port } = parseAddress(address);
   return new Promise((resolve, reject) => {
--- a/src/runtime/loop_lag.ts
+++ b/src/runtime/loop_lag.ts
@@ -1,63 +1,72 @@
 /**
- * Tells whether the process is behind: on a small VM under load, what it reads
- * may be old.
+ * Measures the delay of the event loop. On an overloaded small VM, bytes may
+ * have arrived long before they are read.
  *
  * @module
  */
 import { monotonicNow } from "./monotonic_clock.ts";
 
-/** Pause between two looks, in milliseconds: so much of the lateness may go
- * unnoticed. */
-const INTERVAL = 50;
-/** Lateness from which a turn of the loop counts as late, in milliseconds: a look
- * was missed. With the pause, 0.1 s may go unnoticed: servers may work for callers
- * that have left for half a second, and a shutdown turns requests away 0.12 s before
- * it must. */
-const LIMIT = INTERVAL;
+/**
+ * Interval of the measurement, in milliseconds. A delay of up to this length
+ * may go unnoticed.
+ */
+const MEASURE_INTERVAL = 50;
+/**
+ * Delay above which a turn of the loop counts as late, in milliseconds: one
+ * measurement was missed. Together with the interval, a delay of 0.1 s may go
+ * unnoticed. This is acceptable: servers may work for up to half a second for
+ * callers that have disconnected, and a shutdown rejects requests 0.12 s before
+ * it must.
+ */
+const LATENESS_THRESHOLD = MEASURE_INTERVAL;
 
 /** See the module's comment. */
 export class LoopLag {
   readonly #timer: NodeJS.Timeout;
-  #lookedAt = monotonicNow();
-  /** Since when nothing was read, in a turn of the loop that began late. */
-  #unreadSince: number | null = null;
+  #measuredAt = monotonicNow();
+  /**
+   * Start of a period without reads, during a turn of the loop that began late.
+   */
+  #blockedSince: number | null = null;
 
   private constructor() {
-    this.#timer = setInterval(() => this.#look(), INTERVAL);
+    this.#timer = setInterval(() => this.#measure(), MEASURE_INTERVAL);
     this.#timer.unref();
   }
 
-  /** Starts to look. */
+  /** Creates a meter and starts measuring. */
   static create(): LoopLag {
     return new LoopLag();
   }
 
-  /** By how much the loop is late now, in milliseconds: bytes that are read now
-   * may have lain unread so long. */
+  /**
+   * Current delay of the loop, in milliseconds: bytes that are read now may
+   * have arrived that much earlier.
+   */
   get lateness(): number {
-    const dueAt = this.#unreadSince ?? this.#lookedAt + INTERVAL;
+    const dueAt = this.#blockedSince ?? this.#measuredAt + MEASURE_INTERVAL;
     return Math.max(0, monotonicNow() - dueAt);
   }
 
-  /** Stops to look. */
+  /** Stops measuring. */
   stop(): void {
     clearInterval(this.#timer);
   }
 
-  #look(): void {
+  #measure(): void {
     const now = monotonicNow();
-    const dueAt = this.#lookedAt + INTERVAL;
-    this.#lookedAt = now;
-    if (now - dueAt <= LIMIT) return;
-    // The loop reads after its timers and before its immediates.
-    this.#unreadSince ??= dueAt;
-    setImmediate(() => this.#unreadSince = null);
+    const dueAt = this.#measuredAt + MEASURE_INTERVAL;
+    this.#measuredAt = now;
+    if (now - dueAt <= LATENESS_THRESHOLD) return;
+    // The loop reads from sockets after its timers and before its immediates.
+    this.#blockedSince ??= dueAt;
+    setImmediate(() => this.#blockedSince = null);
   }
 }
 
-/** Calls back once everything that lies unread on connections was read. */
+/** Calls `callback` after all bytes pending on connections have been read. */
 export function afterPendingReads(callback: () => void): void {
-  // The loop reads between two rounds of these; an end that comes with bytes is
-  // read one round after them.
+  // The loop reads from sockets between two rounds of immediates. The end of a
+  // stream that arrives together with bytes is read one round after them.
   setImmediate(() => setImmediate(() => setImmediate(callback)));
 }
--- a/src/runtime/order_sender.ts
+++ b/src/runtime/order_sender.ts
@@ -1,5 +1,5 @@
 /**
- * Sends the term holder's orders to backend servers.
+ * Interface that sends the term holder's orders to backend servers.
  *
  * @module
  */
@@ -9,12 +9,12 @@
   ReleaseOrder,
 } from "../core/keyspace/index.ts";
 
-/** See the module's comment. No call rejects. */
+/** See the module's comment. Calls never reject. */
 export abstract class OrderSender {
   /** Sends a grant; resolves after `timeout` milliseconds at the latest. */
   abstract grant(order: GrantOrder, timeout: number): Promise<OrderOutcome>;
   /** Sends a release; resolves after `timeout` milliseconds at the latest. */
   abstract release(order: ReleaseOrder, timeout: number): Promise<OrderOutcome>;
-  /** Ends all connections. */
+  /** Closes all connections. */
   abstract close(): void;
 }
--- a/src/runtime/readiness_server.ts
+++ b/src/runtime/readiness_server.ts
@@ -1,5 +1,6 @@
 /**
- * Tells the platform's balancer whether this VM takes new connections.
+ * Health check endpoint for the platform's load balancer: whether this VM
+ * accepts new connections.
  *
  * @module
  */
@@ -19,22 +20,22 @@
     });
   }
 
-  /** A server that says "not ready". */
+  /** Creates a server that reports "not ready". */
   static create(): ReadinessServer {
     return new ReadinessServer();
   }
 
-  /** Answers at `address`. Rejects when it cannot be had. */
+  /** Listens at `address`. Rejects if it cannot. */
   listen(address: string): Promise<void> {
     return listenAt(this.#server, address);
   }
 
-  /** Changes what is told. */
-  set(isReady: boolean): void {
+  /** Changes the reported readiness. */
+  setReady(isReady: boolean): void {
     this.#isReady = isReady;
   }
 
-  /** Ends all connections. */
+  /** Closes the server and all its connections. */
   close(): void {
     this.#server.close();
     this.#server.closeAllConnections();
--- a/src/runtime/decode_failure_log_test.ts
+++ b/src/runtime/record_faults_test.ts
@@ -2,7 +2,7 @@
 import test from "ava";
 import { Journal } from "../logging/index.ts";
 import { EntryMetrics } from "./entry_metrics.ts";
-import { DecodeFailureLog } from "./decode_failure_log.ts";
+import { DecodeFailureLog } from "./record_faults.ts";
 
 function createFaults() {
   const text: string[] = [];
--- a/src/runtime/request_body.ts
+++ b/src/runtime/request_body.ts
@@ -5,15 +5,20 @@
  */
 import type { IncomingMessage } from "node:http";
 
-/** What becomes of a body; none of these when it breaks off. */
+/**
+ * Receives the result of reading a body. None of these is called if the body is
+ * truncated.
+ */
 export interface BodyHandler {
-  /** It is larger than allowed; may be called more than once. */
+  /** The body is larger than allowed; may be called more than once. */
   onTooLarge(): void;
-  /** Its end was read. */
+  /** The body was read completely. */
   onComplete(body: Buffer): void;
 }
 
-/** Reads a body of at most `maximumBytes`, which may change meanwhile. */
+/**
+ * Reads a body of at most `maximumBytes`, a limit that may change meanwhile.
+ */
 export function readBody(
   request: IncomingMessage,
   maximumBytes: () => number,
@@ -27,6 +32,7 @@
     chunks.push(chunk);
   });
   request.once("end", () => outcome.onComplete(Buffer.concat(chunks)));
-  // A body that breaks off ends the response, which reports the caller gone.
+  // A truncated body closes the response, which reports that the caller has
+  // disconnected.
   request.on("error", () => {});
 }
--- a/src/runtime/store_link.ts
+++ b/src/runtime/store_link.ts
@@ -20,7 +20,7 @@
 import type { ControlStore, RecordsRead } from "./control_store.ts";
 import type { OccurrenceSink } from "./entry_loop.ts";
 import type { EntryMetrics } from "./entry_metrics.ts";
-import { DecodeFailureLog } from "./decode_failure_log.ts";
+import { DecodeFailureLog } from "./record_faults.ts";
 
 /** See the module's comment. */
 export class StoreLink {
