--- a/src/runtime/backend_pool.ts
+++ b/src/runtime/backend_pool.ts
@@ -20,7 +20,7 @@
 import { errorText } from "../errors/index.ts";
 import { parseAddress } from "../settings/address.ts";
 import type { AnswerFacts, HeaderCodec } from "./header_codec.ts";
-import type { OccurrenceSink } from "./entry_loop.ts";
+import type { EventSink } from "./entry_loop.ts";
 import { limitConnectTime } from "./http_client.ts";
 
 /** Connect timeout, in milliseconds. Hosts that are down send no reset. */
@@ -117,11 +117,11 @@
 
   private constructor(
     private readonly codec: HeaderCodec,
-    private readonly sink: OccurrenceSink,
+    private readonly sink: EventSink,
   ) {}
 
   /** Creates a pool without connections. */
-  static create(codec: HeaderCodec, sink: OccurrenceSink): BackendPool {
+  static create(codec: HeaderCodec, sink: EventSink): BackendPool {
     return new BackendPool(codec, sink);
   }
 
@@ -356,7 +356,7 @@
         rateLimit: metadata.rateLimit,
       },
     });
-    // The core has processed the occurrence by now; a response that it has not
+    // The core has processed the event by now; a response that it has not
     // taken is not needed.
     setImmediate(() => this.#attempts.delete(attempt));
   }
--- a/src/runtime/backend_pool_test.ts
+++ b/src/runtime/backend_pool_test.ts
@@ -6,13 +6,13 @@
 import type { Occurrence } from "../core/entry_event.ts";
 import { BackendPool, type OutgoingRequest } from "./backend_pool.ts";
 
-/** Longest time in which a test's attempt must end, in milliseconds. */
-const PATIENCE = 5_000;
+/** Maximum duration of an attempt, in milliseconds. */
+const TIMEOUT = 5_000;
 
-/** A server that answers each request, by its number, with `script`. */
-async function listen(
+/** Starts a server that calls `handler` with each request and its ordinal. */
+async function startServer(
   t: ExecutionContext,
-  script: (socket: Socket, request: string, ordinal: number) => void,
+  handler: (socket: Socket, request: string, ordinal: number) => void,
 ): Promise<{ server: Server; address: string }> {
   let count = 0;
   const sockets = new Set<Socket>();
@@ -21,7 +21,7 @@
     socket.on("error", () => {});
     socket.on("data", (bytes) => {
       count += 1;
-      script(socket, bytes.toString("latin1"), count);
+      handler(socket, bytes.toString("latin1"), count);
     });
   });
   await new Promise<void>((done) => server.listen(0, "127.0.0.1", done));
@@ -33,12 +33,12 @@
   return { server, address: `127.0.0.1:${port}` };
 }
 
-/** A pool whose attempts can be awaited one after the other. */
+/** Creates a pool whose attempts can be awaited one after the other. */
 function createPool(t: ExecutionContext, address: string) {
   const outcomes: Occurrence[] = [];
-  const waiting: ((outcome: Occurrence) => void)[] = [];
+  const waiters: ((outcome: Occurrence) => void)[] = [];
   const push = (occurrence: Occurrence) => {
-    const next = waiting.shift();
+    const next = waiters.shift();
     if (next === undefined) outcomes.push(occurrence);
     else next(occurrence);
   };
@@ -63,15 +63,15 @@
       remaining: 1_000,
     }, outgoing);
     return new Promise((resolve, reject) => {
-      waiting.push(resolve);
-      const late = () => reject(new Error("no outcome"));
-      setTimeout(late, PATIENCE).unref();
+      waiters.push(resolve);
+      const onTimeout = () => reject(new Error("no outcome"));
+      setTimeout(onTimeout, TIMEOUT).unref();
     });
   };
   return { pool, send, outcomes };
 }
 
-function head(id: string, lines: string[] = []): string {
+function responseHead(id: string, lines: string[] = []): string {
   return [
     "HTTP/1.1 200 OK",
     `X-Plumloft-Request-Id: ${id}`,
@@ -91,76 +91,78 @@
   return outcome.isGenuine ? "genuine" : "spoilt";
 }
 
-/** Waits until this process has read what was sent to it before. */
-function stall(milliseconds: number): void {
+/** Blocks the event loop until the bytes sent so far have arrived. */
+function blockEventLoop(milliseconds: number): void {
   const until = performance.now() + milliseconds;
   while (performance.now() < until);
 }
 
-test("pool: a server that is forgotten keeps no connection, and cuts none in use", async (t) => {
-  const held: Socket[] = [];
-  const { server, address } = await listen(t, (socket, request) => {
+test("backend pool: closing a server's connections does not cut requests in flight", async (t) => {
+  const heldSockets: Socket[] = [];
+  const { server, address } = await startServer(t, (socket, request) => {
     const id = /request-id: (\w+)/i.exec(request)![1];
-    const answer = head(id, ["Content-Length: 2"]) + "ok";
-    if (id === "slow") held.push(socket);
-    else socket.write(answer);
+    const response = responseHead(id, ["Content-Length: 2"]) + "ok";
+    if (id === "slow") heldSockets.push(socket);
+    else socket.write(response);
   });
   let connections = 0;
   server.on("connection", () => connections += 1);
   const { pool, send } = createPool(t, address);
-  // Outcomes are handed over in the order in which attempts end.
-  const firstEnd = send("slow");
-  while (held.length === 0) await delay(1);
-  const secondEnd = send("a");
-  t.is(outcomeKind(await firstEnd), "genuine");
+  // Outcomes are assigned in the order in which attempts end.
+  const firstOutcome = send("slow");
+  while (heldSockets.length === 0) await delay(1);
+  const secondOutcome = send("a");
+  t.is(outcomeKind(await firstOutcome), "genuine");
   pool.closeConnections("server-1");
-  held[0].write(head("slow", ["Content-Length: 2"]) + "ok");
-  t.is(outcomeKind(await secondEnd), "genuine");
+  heldSockets[0].write(responseHead("slow", ["Content-Length: 2"]) + "ok");
+  t.is(outcomeKind(await secondOutcome), "genuine");
   t.is(connections, 2);
   t.is(outcomeKind(await send("b")), "genuine");
   t.is(connections, 3);
 });
 
-const SCRIPTS: Record<
+const RESPONSES: Record<
   string,
   (socket: Socket, request: string, ordinal: number) => void
 > = {
-  "whole, with a length": (socket) =>
-    socket.write(head("a", ["Content-Length: 2"]) + "ok"),
-  "whole, without a length": (socket) => socket.end(head("a") + "ok"),
-  "without a length, reset": (socket) => {
-    socket.write(head("a") + "o");
+  "complete, with a length": (socket) =>
+    socket.write(responseHead("a", ["Content-Length: 2"]) + "ok"),
+  "complete, without a length": (socket) =>
+    socket.end(responseHead("a") + "ok"),
+  "without a length, then a reset": (socket) => {
+    socket.write(responseHead("a") + "o");
     socket.resetAndDestroy();
-    stall(20);
+    blockEventLoop(20);
   },
-  "cut short": (socket) => socket.end(head("a", ["Content-Length: 9"]) + "ok"),
-  "cut short in chunks": (socket) =>
-    socket.end(head("a", ["Transfer-Encoding: chunked"]) + "5\r\nok"),
-  "no answer in the protocol": (socket) => socket.end("garbage\r\n\r\n"),
-  "no signature": (socket) =>
+  "truncated": (socket) =>
+    socket.end(responseHead("a", ["Content-Length: 9"]) + "ok"),
+  "truncated in a chunk": (socket) =>
+    socket.end(responseHead("a", ["Transfer-Encoding: chunked"]) + "5\r\nok"),
+  "that is not HTTP": (socket) => socket.end("garbage\r\n\r\n"),
+  "without a signature": (socket) =>
     socket.write(
       "HTTP/1.1 200 OK\r\nX-Plumloft-Request-Id: a\r\nContent-Length: 0\r\n\r\n",
     ),
-  "of another request": (socket) =>
-    socket.write(head("b", ["Content-Length: 2"]) + "ok"),
-  "closed without an answer": (socket) => socket.destroy(),
+  "to another request": (socket) =>
+    socket.write(responseHead("b", ["Content-Length: 2"]) + "ok"),
+  "missing before the close": (socket) => socket.destroy(),
 };
 
-for (const [name, script] of Object.entries(SCRIPTS)) {
-  test(`answer ${name}`, async (t) => {
-    const { address } = await listen(t, script);
+for (const [name, handler] of Object.entries(RESPONSES)) {
+  test(`backend pool: response ${name}`, async (t) => {
+    const { address } = await startServer(t, handler);
     const { send } = createPool(t, address);
     t.snapshot(outcomeKind(await send("a")));
   });
 }
 
-test("a connection that brings bytes while idle is not used again", async (t) => {
+test("backend pool: does not reuse a connection that receives bytes while idle", async (t) => {
   const sockets = new Set<Socket>();
-  const { address } = await listen(t, (socket, request) => {
+  const { address } = await startServer(t, (socket, request) => {
     sockets.add(socket);
     const id = /request-id: (\w+)/i.exec(request)![1];
-    socket.write(head(id, ["Content-Length: 0"]));
-    if (id === "a") setTimeout(() => socket.write(head("a")), 5);
+    socket.write(responseHead(id, ["Content-Length: 0"]));
+    if (id === "a") setTimeout(() => socket.write(responseHead("a")), 5);
   });
   const { send } = createPool(t, address);
   t.is(outcomeKind(await send("a")), "genuine");
@@ -169,11 +171,11 @@
   t.is(sockets.size, 2);
 });
 
-test("a connection is kept, and its second request is sent once", async (t) => {
+test("backend pool: reuses a connection, and sends its second request only once", async (t) => {
   const requests: string[] = [];
-  const { address } = await listen(t, (socket, request, ordinal) => {
+  const { address } = await startServer(t, (socket, request, ordinal) => {
     requests.push(request);
-    if (ordinal === 1) socket.write(head("a", ["Content-Length: 0"]));
+    if (ordinal === 1) socket.write(responseHead("a", ["Content-Length: 0"]));
     else socket.destroy();
   });
   const { send } = createPool(t, address);
@@ -183,8 +185,8 @@
   t.snapshot(requests[0].replaceAll("\r\n", "\n"));
 });
 
-test("nothing was sent where nobody listens", async (t) => {
-  const { server, address } = await listen(t, () => {});
+test("backend pool: a refused connection counts as not sent", async (t) => {
+  const { server, address } = await startServer(t, () => {});
   await new Promise((done) => server.close(done));
   const { send } = createPool(t, address);
   t.is(outcomeKind(await send("a")), "failed, not sent");
--- a/src/runtime/caller_accept_test.ts
+++ b/src/runtime/caller_accept_test.ts
@@ -2,17 +2,19 @@
 import test from "ava";
 import { connectCaller } from "../../test/support/caller_connection.ts";
 
-/** Callers whose connections wait at the same time. */
+/** Number of callers whose connections wait at the same time. */
 const CALLERS = 20;
 
-// Seen: on a small VM under a burst, and after all VMs had lost power, requests
-// reached servers 0.5 to 2.4 s after their callers had left, though the loop
-// was late by less than 0.1 s. Node takes one new connection a turn of its loop;
-// where turns take milliseconds, connections wait in the kernel with their
-// requests and their ends, which are read in two turns.
+// Guards against forwarding requests whose callers have disconnected. On a
+// small VM during a burst, and after a power loss of all VMs, requests reached
+// servers 0.5 to 2.4 s after their callers had disconnected, although the loop
+// was late by less than 0.1 s. Node accepts one new connection per turn of its
+// loop. Where turns take milliseconds, connections wait in the kernel with
+// their requests and their ends, which are read in two turns.
 //
-// In a file of its own: other tests make the loop late, which hides the fault.
-test("callers: those that left while their connections waited are not served", async (t) => {
+// In a separate file, since other tests delay the loop, which hides the
+// failure.
+test("caller server: does not forward requests of callers that disconnected before they were accepted", async (t) => {
   const { socket, occurrences } = await connectCaller(t, {
     maximumHeaderBytes: 400,
     maximumBodyBytes: 10,
--- a/src/runtime/caller_close_test.ts
+++ b/src/runtime/caller_close_test.ts
@@ -1,19 +1,21 @@
 /**
- * Ends of callers' connections that are not yet as they should be: an answer that
- * the system has taken and not delivered, an answer to a request that was answered
- * already, and a caller that leaves in the middle of a request.
+ * Closing callers' connections: a response that the operating system has
+ * accepted but not delivered, a response to a request that already has one, and
+ * a caller that disconnects in the middle of a request.
  *
  * @module
  */
 import test, { type ExecutionContext } from "ava";
 import { connectCaller } from "../../test/support/caller_connection.ts";
 
-/** Longest time for something to happen, in milliseconds. */
-const PATIENCE = 3_000;
+/** Maximum time for an expected event, in milliseconds. */
+const TIMEOUT = 3_000;
 /** Time for bytes to be read, in milliseconds. */
 const PAUSE = 50;
-/** An answer that fits into the system's buffers of both sides, in bytes. */
-const LARGE = 1_000_000;
+/**
+ * Size of a response that fits into the socket buffers of both sides, in bytes.
+ */
+const LARGE_BODY_SIZE = 1_000_000;
 
 function pause(milliseconds = PAUSE): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, milliseconds));
@@ -30,69 +32,70 @@
   socket.on("error", () => {});
   const count = (kind: string) =>
     occurrences.filter((each) => each.kind === kind).length;
-  const until = async (holds: () => boolean) => {
-    const end = Date.now() + PATIENCE;
-    while (!holds()) {
-      if (Date.now() > end) throw new Error("waited in vain");
+  const waitUntil = async (isMet: () => boolean) => {
+    const end = Date.now() + TIMEOUT;
+    while (!isMet()) {
+      if (Date.now() > end) throw new Error("timed out");
       await pause(5);
     }
   };
-  const answer = (exchange: number, body: string) =>
+  const respond = (exchange: number, body: string) =>
     server.deliver(exchange, {
       status: 200,
       statusText: "OK",
       headers: [],
       body: Buffer.from(body),
     });
-  return { ...caller, count, until, answer };
+  return { ...caller, count, waitUntil, respond };
 }
 
 function get(path: string): string {
   return `GET ${path} HTTP/1.1\r\nHost: h.example\r\n\r\n`;
 }
 
-// Answers given out of order leave a connection open while the process drains: the
-// mark that ends it would have stood on the one that was given first. The close
-// meets it without anything due, though its last answer is still on its way, and
-// the process ends. What the caller sends then makes the system throw away what it
-// has not delivered.
-test("close: an answer that is on its way outlives the stop, whatever is sent then", async (t) => {
-  const { server, socket, count, until, answer, read } = await start(t);
+// Guards against losing a response in transit. When responses complete out of
+// order while the process drains, the connection stays open, since the header
+// that closes it would have been set on the response that completed first. At
+// the close nothing is pending, although the last response is still in transit,
+// and the process exits. If the caller then sends bytes, the operating system
+// discards the data that it has not delivered.
+test("close: a response in transit is delivered although the caller keeps sending", async (t) => {
+  const { server, socket, count, waitUntil, respond, read } = await start(t);
   socket.pause();
   socket.write(get("/1") + get("/2"));
-  await until(() => count("request.arrived") === 2);
-  answer(2, "x".repeat(LARGE));
+  await waitUntil(() => count("request.arrived") === 2);
+  respond(2, "x".repeat(LARGE_BODY_SIZE));
   server.drain();
-  answer(1, "one");
-  await until(() => server.counts.unsent === 0);
+  respond(1, "one");
+  await waitUntil(() => server.counts.unsent === 0);
   server.close();
-  // The process ends as soon as it is told so.
-  const stopping = until(() => count("callers.closed") === 1)
+  // The process exits as soon as the close is reported.
+  const stopping = waitUntil(() => count("callers.closed") === 1)
     .then(() => server.destroy());
   await pause();
   socket.write(get("/3"));
   await pause();
   socket.resume();
   await stopping;
-  await until(() => socket.destroyed);
-  t.is(read().match(/x+$/)?.[0].length, LARGE);
+  await waitUntil(() => socket.destroyed);
+  t.is(read().match(/x+$/)?.[0].length, LARGE_BODY_SIZE);
 });
 
-test("close: a request that was answered before its end is not answered again", async (t) => {
-  const { socket, until, read } = await start(t);
+test("close: a request that was rejected before its end gets no second response", async (t) => {
+  const { socket, waitUntil, read } = await start(t);
   socket.write(
     "POST /1 HTTP/1.1\r\nHost: h\r\nExpect: a-pony\r\nContent-Length: 9\r\n\r\nhalf",
   );
-  await until(() => read().includes("expectation failed"));
+  await waitUntil(() => read().includes("expectation failed"));
   socket.end();
-  await until(() => socket.destroyed);
+  await waitUntil(() => socket.destroyed);
   t.deepEqual(read().match(/HTTP\/1\.1 \d+/g), ["HTTP/1.1 417"]);
 });
 
-test("close: a caller that leaves with half a request behind is told of", async (t) => {
-  const { socket, count, until } = await start(t);
+test("close: reports a caller that disconnects in the middle of a pipelined request", async (t) => {
+  const { socket, count, waitUntil } = await start(t);
   socket.write(`${get("/1")}GET /2 HT`);
-  await until(() => count("request.arrived") === 1);
+  await waitUntil(() => count("request.arrived") === 1);
   socket.end();
   await pause(500);
   t.is(count("request.left"), 1);
--- a/src/runtime/caller_connection.ts
+++ b/src/runtime/caller_connection.ts
@@ -55,7 +55,7 @@
    * Whether a response to a further request could be sent. A request that is
    * not accepted must not be forwarded, since its caller retries it elsewhere.
    */
-  get acceptsRequests(): boolean {
+  get isAccepting(): boolean {
     return !this.#isEnding;
   }
 
@@ -81,9 +81,9 @@
   addRequest(
     exchange: number,
     response: ServerResponse,
-    lost: () => void,
+    onLost: () => void,
   ): void {
-    this.#pending.push({ exchange, response, onLost: lost });
+    this.#pending.push({ exchange, response, onLost });
     response.once("close", () => this.#responseClosed(response));
   }
 
@@ -114,9 +114,9 @@
   #responseClosed(response: ServerResponse): void {
     const index = this.#pending.findIndex((each) => each.response === response);
     if (index < 0) return;
-    const [{ onLost: lost }] = this.#pending.splice(index, 1);
+    const [{ onLost }] = this.#pending.splice(index, 1);
     this.#lastSentAt = monotonicNow();
-    if (!response.writableFinished) lost();
+    if (!response.writableFinished) onLost();
     if (this.#pending.length > 0 || !this.#isEnding) return;
     this.#closeGracefully(this.#finalBytes);
   }
@@ -138,14 +138,14 @@
     // Node does this as well, unless it has detached the connection for a
     // tunnel.
     this.socket.end();
-    for (const { onLost: lost } of this.#pending) lost();
+    for (const { onLost } of this.#pending) onLost();
   }
 
   /** Node emits no event for responses queued behind one that was cut. */
   #socketClosed(): void {
     this.#isEnding = true;
     this.#isClosing = false;
-    for (const { onLost: lost } of this.#pending.splice(0)) lost();
+    for (const { onLost } of this.#pending.splice(0)) onLost();
     this.onClosed();
   }
 }
--- a/src/runtime/caller_order_test.ts
+++ b/src/runtime/caller_order_test.ts
@@ -1,20 +1,23 @@
 /**
- * Seen: requests that had run at their backend servers ended without an answer
+ * Guards against requests that ran at their backend servers but got no response
  * while a VM stopped. Callers that pipeline have several requests on one
- * connection, which servers answer in any order. The mark that ends a connection
- * was put on the answer that was given last, though another one was sent last;
- * what stands behind the mark is dropped. Proof: the first test got one answer
- * of two. The others are the same class: a connection that ends, or says
- * something else, before the answers that are due on it.
+ * connection, which servers complete in any order. The header that closes a
+ * connection was set on the response that completed last, although another one
+ * was sent last; responses after that header are dropped. The first test then
+ * received one response of two. The other tests cover the same class of
+ * failure: a connection that is closed, or sends another response, before its
+ * pending responses.
  *
  * @module
  */
 import test, { type ExecutionContext } from "ava";
 import { connectCaller } from "../../test/support/caller_connection.ts";
 
-/** Longest time for something to happen, in milliseconds. */
-const PATIENCE = 3_000;
-/** Time in which a caller must send its headers here, in milliseconds. */
+/** Maximum time for an expected event, in milliseconds. */
+const TIMEOUT = 3_000;
+/**
+ * Time in which a caller must send its headers in these tests, in milliseconds.
+ */
 const HEADER_TIMEOUT = 300;
 /** Time for bytes to be read, in milliseconds. */
 const PAUSE = 50;
@@ -32,7 +35,7 @@
     occurrences.flatMap((each) =>
       each.kind === "request.arrived" ? [each.arrival] : []
     );
-  const answer = (target: string) => {
+  const respond = (target: string) => {
     const { exchange } = arrivals().find((each) => each.target === target)!;
     const body = Buffer.from(`answer ${target};`);
     server.deliver(exchange, {
@@ -42,24 +45,35 @@
       body,
     });
   };
-  const until = async (holds: () => boolean) => {
-    const end = Date.now() + PATIENCE;
-    while (!holds()) {
-      if (Date.now() > end) throw new Error(`waited in vain: ${read()}`);
+  const waitUntil = async (isMet: () => boolean) => {
+    const end = Date.now() + TIMEOUT;
+    while (!isMet()) {
+      if (Date.now() > end) throw new Error(`timed out: ${read()}`);
       await pause(5);
     }
   };
-  /** Waits for the end; statuses and paths in the order of the answers. */
-  const outcome = async () => {
-    await Promise.race([ended, pause(PATIENCE)]);
-    const said = [...read().matchAll(/HTTP\/1\.1 (\d+)|answer (\S+);/g)];
-    return said.map((match) => match[2] ?? match[1]).join(" ");
+  /**
+   * Waits for the end of the connection; returns statuses and paths in the
+   * order of the responses.
+   */
+  const readResponses = async () => {
+    await Promise.race([ended, pause(TIMEOUT)]);
+    const received = [...read().matchAll(/HTTP\/1\.1 (\d+)|answer (\S+);/g)];
+    return received.map((match) => match[2] ?? match[1]).join(" ");
   };
-  const taken = (...targets: string[]) =>
-    until(() =>
+  const waitForRequests = (...targets: string[]) =>
+    waitUntil(() =>
       arrivals().map((each) => each.target).join() === targets.join()
     );
-  return { server, socket, occurrences, arrivals, answer, taken, outcome };
+  return {
+    server,
+    socket,
+    occurrences,
+    arrivals,
+    respond,
+    waitForRequests,
+    readResponses,
+  };
 }
 
 function pause(milliseconds: number): Promise<void> {
@@ -70,134 +84,139 @@
   return `GET ${path} HTTP/1.1\r\nHost: h.example\r\n${headers}\r\n`;
 }
 
-test("order: while draining, answers given out of order are all sent", async (t) => {
-  const { server, socket, answer, taken, outcome } = await start(t);
+test("order: while draining, sends all responses that complete out of order", async (t) => {
+  const { server, socket, respond, waitForRequests, readResponses } =
+    await start(t);
   socket.write(get("/1") + get("/2"));
-  await taken("/1", "/2");
+  await waitForRequests("/1", "/2");
   server.drain();
-  answer("/2");
-  answer("/1");
-  t.is(await outcome(), "200 /1 200 /2");
+  respond("/2");
+  respond("/1");
+  t.is(await readResponses(), "200 /1 200 /2");
 });
 
-test("order: answers given out of order around the close are all sent", async (t) => {
-  const { server, socket, answer, taken, outcome } = await start(t);
+test("order: sends all responses that complete out of order around the close", async (t) => {
+  const { server, socket, respond, waitForRequests, readResponses } =
+    await start(t);
   socket.write(get("/1") + get("/2") + get("/3"));
-  await taken("/1", "/2", "/3");
-  answer("/3");
+  await waitForRequests("/1", "/2", "/3");
+  respond("/3");
   server.drain();
   server.close();
-  answer("/2");
+  respond("/2");
   await pause(PAUSE);
-  answer("/1");
-  t.is(await outcome(), "200 /1 200 /2 200 /3");
+  respond("/1");
+  t.is(await readResponses(), "200 /1 200 /2 200 /3");
 });
 
-test("order: a body that is too large ends its connection behind the answers due", async (t) => {
-  const { server, socket, answer, taken, outcome } = await start(t);
+test("order: an oversized body closes its connection after pending responses", async (t) => {
+  const { server, socket, respond, waitForRequests, readResponses } =
+    await start(t);
   socket.write(
     get("/1") + get("/2") +
       "POST /3 HTTP/1.1\r\nHost: h\r\nContent-Length: 1001\r\n\r\n" +
       "x".repeat(1_001) + get("/4"),
   );
-  await taken("/1", "/2");
+  await waitForRequests("/1", "/2");
   server.drain();
-  answer("/2");
-  answer("/1");
-  t.is(await outcome(), "200 /1 200 /2 413");
+  respond("/2");
+  respond("/1");
+  t.is(await readResponses(), "200 /1 200 /2 413");
 });
 
-test("order: what is no request is told so behind the answers due", async (t) => {
-  const { socket, answer, taken, outcome } = await start(t);
+test("order: a malformed request is rejected after pending responses", async (t) => {
+  const { socket, respond, waitForRequests, readResponses } = await start(t);
   socket.write(`${get("/1")}GE T /2\r\n\r\n`);
-  await taken("/1");
+  await waitForRequests("/1");
   await pause(PAUSE);
-  answer("/1");
-  t.is(await outcome(), "200 /1 400");
+  respond("/1");
+  t.is(await readResponses(), "200 /1 400");
 });
 
-test("order: half a request that takes too long does not end one before it", async (t) => {
-  const { socket, answer, taken, outcome } = await start(t);
+test("order: the timeout of a partial request does not cut an earlier response", async (t) => {
+  const { socket, respond, waitForRequests, readResponses } = await start(t);
   socket.write(`${get("/1")}GET /2 HT`);
-  await taken("/1");
-  // Node looks for such callers once a second.
+  await waitForRequests("/1");
+  // Node checks for such callers once a second.
   await pause(1_000 + 2 * HEADER_TIMEOUT);
-  answer("/1");
-  t.is(await outcome(), "200 /1 408");
+  respond("/1");
+  t.is(await readResponses(), "200 /1 408");
 });
 
-test("order: a caller that ends its connection itself gets the answer before", async (t) => {
-  const { socket, answer, taken, outcome } = await start(t);
+test("order: a response is sent before a close that its request asks for", async (t) => {
+  const { socket, respond, waitForRequests, readResponses } = await start(t);
   socket.write(get("/1", "Connection: close\r\n") + get("/2"));
-  await taken("/1");
+  await waitForRequests("/1");
   await pause(PAUSE);
-  answer("/1");
-  t.is(await outcome(), "200 /1");
+  respond("/1");
+  t.is(await readResponses(), "200 /1");
 });
 
-test("order: nothing is taken behind a request without a host", async (t) => {
-  const { socket, answer, taken, outcome } = await start(t);
+test("order: no request is accepted after one without a host", async (t) => {
+  const { socket, respond, waitForRequests, readResponses } = await start(t);
   socket.write(`${get("/1")}GET /2 HTTP/1.1\r\n\r\n${get("/3")}`);
-  await taken("/1");
+  await waitForRequests("/1");
   await pause(PAUSE);
-  await taken("/1");
-  answer("/1");
-  t.is(await outcome(), "200 /1 400");
+  await waitForRequests("/1");
+  respond("/1");
+  t.is(await readResponses(), "200 /1 400");
 });
 
-test("order: a tunnel that is asked for does not end a request before it", async (t) => {
-  const { socket, answer, taken, outcome } = await start(t);
+test("order: a CONNECT request does not cut an earlier response", async (t) => {
+  const { socket, respond, waitForRequests, readResponses } = await start(t);
   socket.write(
     `${get("/1")}CONNECT h:1 HTTP/1.1\r\nHost: h\r\n\r\n${get("/3")}`,
   );
-  await taken("/1");
+  await waitForRequests("/1");
   await pause(PAUSE);
-  answer("/1");
-  t.is(await outcome(), "200 /1 501");
+  respond("/1");
+  t.is(await readResponses(), "200 /1 501");
 });
 
-test("order: an expectation that cannot be met is said so in its place", async (t) => {
-  const { server, socket, answer, taken, outcome } = await start(t);
+test("order: an unsupported expectation is rejected in its turn", async (t) => {
+  const { server, socket, respond, waitForRequests, readResponses } =
+    await start(t);
   socket.write(
     get("/1") + get("/2", "Expect: a-pony\r\n") + get("/3"),
   );
-  await taken("/1", "/3");
+  await waitForRequests("/1", "/3");
   server.drain();
-  answer("/3");
-  answer("/1");
-  t.is(await outcome(), "200 /1 417 200 /3");
+  respond("/3");
+  respond("/1");
+  t.is(await readResponses(), "200 /1 417 200 /3");
 });
 
-test("order: a body that is asked for by its server comes in its place", async (t) => {
-  const { server, socket, answer, taken, outcome } = await start(t);
+test("order: a request that expects 100 Continue is answered in its turn", async (t) => {
+  const { server, socket, respond, waitForRequests, readResponses } =
+    await start(t);
   socket.write(
     get("/1") +
       "POST /2 HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n",
   );
-  await taken("/1");
+  await waitForRequests("/1");
   server.drain();
-  answer("/1");
+  respond("/1");
   await pause(PAUSE);
   socket.write("ok");
-  await taken("/1", "/2");
-  answer("/2");
-  t.is(await outcome(), "200 /1 100 200 /2");
+  await waitForRequests("/1", "/2");
+  respond("/2");
+  t.is(await readResponses(), "200 /1 100 200 /2");
 });
 
-test("order: a caller that leaves is told of for each of its requests", async (t) => {
-  const { socket, occurrences, taken } = await start(t);
+test("order: reports a disconnect for each pending request", async (t) => {
+  const { socket, occurrences, waitForRequests } = await start(t);
   socket.write(get("/1") + get("/2") + get("/3"));
-  await taken("/1", "/2", "/3");
+  await waitForRequests("/1", "/2", "/3");
   socket.destroy();
   await pause(2 * PAUSE);
   const left = occurrences.filter((each) => each.kind === "request.left");
   t.is(left.length, 3);
 });
 
-test("order: a caller that asks for a tunnel and leaves is let go", async (t) => {
-  const { server, socket, occurrences, taken } = await start(t);
+test("order: a connection closes when its caller disconnects after a CONNECT request", async (t) => {
+  const { server, socket, occurrences, waitForRequests } = await start(t);
   socket.write(`${get("/1")}CONNECT h:1 HTTP/1.1\r\nHost: h\r\n\r\n`);
-  await taken("/1");
+  await waitForRequests("/1");
   await pause(PAUSE);
   socket.end();
   await pause(4 * PAUSE);
--- a/src/runtime/caller_server.ts
+++ b/src/runtime/caller_server.ts
@@ -17,7 +17,7 @@
 import { Fingerprint } from "../core/quarantine/index.ts";
 import { CallerConnection } from "./caller_connection.ts";
 import type { BackendResponse, OutgoingRequest } from "./backend_pool.ts";
-import type { OccurrenceSink } from "./entry_loop.ts";
+import type { EventSink } from "./entry_loop.ts";
 import type { HeaderCodec } from "./header_codec.ts";
 import { listenAt } from "./listen.ts";
 import { afterPendingReads, type LoopLag } from "./loop_lag.ts";
@@ -110,7 +110,7 @@
 
   private constructor(
     private readonly codec: HeaderCodec,
-    private readonly sink: OccurrenceSink,
+    private readonly sink: EventSink,
     private readonly observer: ResponseObserver,
     private readonly lag: LoopLag,
   ) {
@@ -119,7 +119,7 @@
       requestTimeout: REQUEST_TIMEOUT,
       connectionsCheckingInterval: CHECK_INTERVAL,
       // Node's own response to a request without a host closes the connection,
-      // and requests pipelined behind it would never be answered.
+      // and responses to requests pipelined behind it would be dropped.
       requireHostHeader: false,
     }, (request, response) => this.#handleRequest(request, response));
     this.#server.on(
@@ -148,7 +148,7 @@
   /** Creates a server that does not listen yet. */
   static create(
     codec: HeaderCodec,
-    sink: OccurrenceSink,
+    sink: EventSink,
     observer: ResponseObserver,
     lag: LoopLag,
   ): CallerServer {
@@ -167,7 +167,7 @@
     this.#server.keepAliveTimeout = limits.idleTimeout;
   }
 
-  /** Closes each connection after its next response. */
+  /** Closes each connection after its last pending response. */
   drain(): void {
     this.#isDraining = true;
   }
@@ -251,21 +251,21 @@
   }
 
   #respond(
-    number: number,
+    id: number,
     status: number,
     statusText: string,
     headers: readonly string[],
     body: Buffer,
     isOwn: boolean,
   ): void {
-    const exchange = this.#exchanges.get(number);
+    const exchange = this.#exchanges.get(id);
     if (exchange === undefined) return;
-    this.#exchanges.delete(number);
+    this.#exchanges.delete(id);
     const { response, connection, arrivedAt } = exchange;
-    const isLast = connection.isLast(number);
+    const isLast = connection.isLast(id);
     if (this.#isDraining && isLast) connection.end();
     const head = [...headers, "Content-Length", String(body.length)];
-    if (isLast && !connection.acceptsRequests) head.push("Connection", "close");
+    if (isLast && !connection.isAccepting) head.push("Connection", "close");
     if (statusText === "") response.writeHead(status, head);
     else response.writeHead(status, statusText, head);
     response.end(body);
@@ -274,13 +274,13 @@
 
   #handleRequest(request: IncomingMessage, response: ServerResponse): void {
     const connection = this.#connections.get(request.socket);
-    if (connection === undefined || !connection.acceptsRequests) {
+    if (connection === undefined || !connection.isAccepting) {
       this.#unreadRequests += 1;
       request.resume();
       return;
     }
     this.#exchangeCount += 1;
-    const number = this.#exchangeCount;
+    const id = this.#exchangeCount;
     const exchange: Exchange = {
       request,
       response,
@@ -294,21 +294,21 @@
       },
       arrivedAt: monotonicNow(),
     };
-    this.#exchanges.set(number, exchange);
+    this.#exchanges.set(id, exchange);
     connection.addRequest(
-      number,
+      id,
       response,
-      () => this.#callerDisconnected(number),
+      () => this.#callerDisconnected(id),
     );
     const rejection = checkHeaders(request, this.#limits);
-    if (rejection !== null) return this.#reject(number, rejection);
-    if (!isMetExpectation(request)) this.#sendError(number, EXPECTATION_FAILED);
+    if (rejection !== null) return this.#reject(id, rejection);
+    if (!isMetExpectation(request)) this.#sendError(id, EXPECTATION_FAILED);
     readBody(request, () => this.#limits?.maximumBodyBytes ?? Infinity, {
-      onTooLarge: () => this.#reject(number, BODY_TOO_LARGE),
+      onTooLarge: () => this.#reject(id, BODY_TOO_LARGE),
       onComplete: (body) => {
-        if (!this.#exchanges.has(number)) return;
+        if (!this.#exchanges.has(id)) return;
         exchange.outgoing.body = body;
-        this.#requestReceived(number, exchange);
+        this.#requestReceived(id, exchange);
       },
     });
   }
@@ -323,11 +323,11 @@
    * loop take 0.01 ms; on a busy VM they also accept waiting connections before
    * requests are processed.
    */
-  #requestReceived(number: number, exchange: Exchange): void {
+  #requestReceived(id: number, exchange: Exchange): void {
     const receivedAt = monotonicNow() - this.lag.lateness;
     afterPendingReads(() => {
-      if (!this.#exchanges.has(number)) return;
-      this.#forward(number, exchange, receivedAt);
+      if (!this.#exchanges.has(id)) return;
+      this.#forward(id, exchange, receivedAt);
     });
   }
 
@@ -336,7 +336,7 @@
    * bytes arrived at this VM. Counted from when they were read, servers would
    * run requests whose callers have given up.
    */
-  #forward(number: number, exchange: Exchange, receivedAt: number): void {
+  #forward(id: number, exchange: Exchange, receivedAt: number): void {
     const { headers } = exchange.request;
     const { timeout, ...metadata } = this.codec.readCaller(headers);
     const age = Math.round(monotonicNow() - receivedAt);
@@ -345,13 +345,13 @@
     if (isDelayed && timeout <= age) {
       this.#lateRequests += 1;
       this.sink.push({ kind: "request.late", id: metadata.id, timeout, age });
-      return this.#sendError(number, READ_TOO_LATE);
+      return this.#sendError(id, READ_TOO_LATE);
     }
     exchange.outgoing.id = metadata.id;
     this.sink.push({
       kind: "request.arrived",
       arrival: {
-        exchange: number,
+        exchange: id,
         host: headers.host ?? "",
         target: exchange.outgoing.target,
         timeout: remaining,
@@ -362,9 +362,9 @@
   }
 
   /** Responds to a request that is not forwarded and closes its connection. */
-  #reject(number: number, rejection: RequestRejection): void {
-    this.#exchanges.get(number)?.connection.end();
-    this.#sendError(number, rejection);
+  #reject(id: number, rejection: RequestRejection): void {
+    this.#exchanges.get(id)?.connection.end();
+    this.#sendError(id, rejection);
   }
 
   #sendError(exchange: number, { status, reason }: RequestRejection): void {
@@ -413,9 +413,9 @@
     this.#connections.get(socket)?.end(rawResponse(TUNNEL_UNSUPPORTED));
   }
 
-  #callerDisconnected(number: number): void {
-    if (!this.#exchanges.delete(number)) return;
-    this.sink.push({ kind: "request.left", exchange: number });
+  #callerDisconnected(id: number): void {
+    if (!this.#exchanges.delete(id)) return;
+    this.sink.push({ kind: "request.left", exchange: id });
   }
 }
 
--- a/src/runtime/caller_server_test.ts
+++ b/src/runtime/caller_server_test.ts
@@ -3,10 +3,10 @@
 import test, { type ExecutionContext } from "ava";
 import { connectCaller } from "../../test/support/caller_connection.ts";
 
-/** Longest time for something to happen, in milliseconds. */
-const PATIENCE = 5_000;
+/** Maximum time for an expected event, in milliseconds. */
+const TIMEOUT = 5_000;
 
-/** A server whose occurrences are kept, and a connection to it. */
+/** Starts a server that records its events, and one connection to it. */
 async function start(t: ExecutionContext) {
   const connection = await connectCaller(t, {
     maximumHeaderBytes: 400,
@@ -15,10 +15,10 @@
     idleTimeout: 5_000,
   });
   const { server, socket, occurrences, read, connectFrom } = connection;
-  const until = async (holds: () => boolean) => {
-    const end = Date.now() + PATIENCE;
-    while (!holds()) {
-      if (Date.now() > end) throw new Error(`waited in vain: ${read()}`);
+  const waitUntil = async (isMet: () => boolean) => {
+    const end = Date.now() + TIMEOUT;
+    while (!isMet()) {
+      if (Date.now() > end) throw new Error(`timed out: ${read()}`);
       await new Promise((next) => setTimeout(next, 5));
     }
   };
@@ -26,7 +26,7 @@
     occurrences.flatMap((each) =>
       each.kind === "request.arrived" ? [each.arrival] : []
     );
-  const answer = (exchange: number, body: string) =>
+  const respond = (exchange: number, body: string) =>
     server.deliver(exchange, {
       status: 200,
       statusText: "OK",
@@ -38,8 +38,8 @@
     socket,
     occurrences,
     arrivals,
-    answer,
-    until,
+    respond,
+    waitUntil,
     read,
     connectFrom,
   };
@@ -49,26 +49,26 @@
   return `GET ${path} HTTP/1.1\r\nHost: h.example\r\n${more}\r\n`;
 }
 
-/** An answer without its date. */
+/** Removes the Date header from a response. */
 function withoutDate(text: string): string {
   return text.replace(/Date: [^\r]*\r\n/g, "").replaceAll("\r\n", "\n");
 }
 
-/** Statuses of the answers in a text. */
+/** Statuses of the responses in a text. */
 function statuses(text: string): string[] {
   return [...text.matchAll(/HTTP\/1\.1 (\d+)/g)].map((match) => match[1]);
 }
 
-test("callers: a request is taken in with what it says", async (t) => {
-  const { socket, arrivals, until } = await start(t);
+test("caller server: reports a request with its metadata", async (t) => {
+  const { socket, arrivals, waitUntil } = await start(t);
   socket.write(
     "POST /a/b?c=1 HTTP/1.1\r\nHost: h.example\r\nX-Plumloft-Request-Id: r-1\r\n" +
       "X-Plumloft-Deadline-Ms: 700\r\nX-Plumloft-Shard-Key: 9\r\n" +
       "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n",
   );
-  await until(() => arrivals().length === 1);
-  const said = arrivals().map(({ fingerprint: _, ...facts }) => facts);
-  t.snapshot(said);
+  await waitUntil(() => arrivals().length === 1);
+  const received = arrivals().map(({ fingerprint: _, ...facts }) => facts);
+  t.snapshot(received);
   const sent = Fingerprint.create({
     method: "POST",
     host: "h.example",
@@ -78,41 +78,41 @@
   t.is(arrivals()[0].fingerprint.whole, sent.whole);
 });
 
-test("callers: pipelined requests are answered in their order", async (t) => {
-  const { socket, arrivals, answer, until, read } = await start(t);
+test("caller server: responds to pipelined requests in order", async (t) => {
+  const { socket, arrivals, respond, waitUntil, read } = await start(t);
   socket.write(get("/1") + get("/2") + get("/3"));
-  await until(() => arrivals().length === 3);
-  answer(3, "three");
-  answer(1, "one");
-  answer(2, "two");
-  await until(() => read().includes("three"));
+  await waitUntil(() => arrivals().length === 3);
+  respond(3, "three");
+  respond(1, "one");
+  respond(2, "two");
+  await waitUntil(() => read().includes("three"));
   t.snapshot(withoutDate(read()));
 });
 
-test("callers: while draining the last answer of a connection closes it", async (t) => {
-  const { server, socket, arrivals, answer, until, read } = await start(t);
+test("caller server: while draining, the last response closes its connection", async (t) => {
+  const { server, socket, arrivals, respond, waitUntil, read } = await start(t);
   socket.write(get("/1") + get("/2"));
-  await until(() => arrivals().length === 2);
+  await waitUntil(() => arrivals().length === 2);
   server.drain();
-  answer(1, "one");
-  answer(2, "two");
-  await until(() => socket.closed || socket.readableEnded);
+  respond(1, "one");
+  respond(2, "two");
+  await waitUntil(() => socket.closed || socket.readableEnded);
   t.is((read().match(/Connection: close/g) ?? []).length, 1);
   t.true(read().indexOf("Connection: close") > read().indexOf("one"));
 });
 
-test("callers: what is over the limits is refused", async (t) => {
+test("caller server: rejects requests that exceed the limits", async (t) => {
   const large = await start(t);
   large.socket.write(get("/", `X-Filler: ${"x".repeat(500)}\r\n`));
-  await large.until(() => large.socket.readableEnded);
+  await large.waitUntil(() => large.socket.readableEnded);
   const body = await start(t);
   body.socket.write(
     "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 11\r\n\r\nhello world",
   );
-  await body.until(() => statuses(body.read()).length === 1);
+  await body.waitUntil(() => statuses(body.read()).length === 1);
   const garbage = await start(t);
   garbage.socket.write("no request\r\n\r\n");
-  await garbage.until(() => garbage.socket.readableEnded);
+  await garbage.waitUntil(() => garbage.socket.readableEnded);
   t.deepEqual([large, body, garbage].map((each) => statuses(each.read())), [
     ["431"],
     ["413"],
@@ -121,87 +121,87 @@
   t.is(large.arrivals().length + body.arrivals().length, 0);
 });
 
-test("callers: one that leaves is told of, once", async (t) => {
-  const { socket, occurrences, arrivals, answer, until } = await start(t);
+test("caller server: reports a disconnect once", async (t) => {
+  const { socket, occurrences, arrivals, respond, waitUntil } = await start(t);
   socket.write(get("/1"));
-  await until(() => arrivals().length === 1);
+  await waitUntil(() => arrivals().length === 1);
   socket.destroy();
   const left = () => occurrences.filter((each) => each.kind === "request.left");
-  await until(() => left().length === 1);
-  answer(1, "too late");
+  await waitUntil(() => left().length === 1);
+  respond(1, "too late");
   t.deepEqual(left(), [{ kind: "request.left", exchange: 1 }]);
 });
 
-test("callers: a request in two contradictory lengths is no request", async (t) => {
-  const { socket, arrivals, until, read } = await start(t);
+test("caller server: rejects a request with contradictory lengths", async (t) => {
+  const { socket, arrivals, waitUntil, read } = await start(t);
   socket.write(
     "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n" +
       "0\r\n\r\nGET /smuggled HTTP/1.1\r\nHost: h\r\n\r\n",
   );
-  await until(() => isOver(socket));
+  await waitUntil(() => hasEnded(socket));
   t.deepEqual(statuses(read()), ["400"]);
   t.false(arrivals().some(({ target }) => target === "/smuggled"));
 });
 
-function isOver(socket: Socket): boolean {
+function hasEnded(socket: Socket): boolean {
   return socket.closed || socket.readableEnded;
 }
 
-test("callers: closing idle connections spares one that waits behind an answer", async (t) => {
-  const { server, socket, arrivals, answer, until, read } = await start(t);
+test("caller server: a connection with a pipelined request is not closed as idle", async (t) => {
+  const { server, socket, arrivals, respond, waitUntil, read } = await start(t);
   socket.write(get("/1") + get("/2"));
-  await until(() => arrivals().length === 2);
+  await waitUntil(() => arrivals().length === 2);
   server.drain();
-  answer(1, "one");
+  respond(1, "one");
   server.close();
-  await until(() => read().includes("one"));
-  answer(2, "two");
-  await until(() => isOver(socket));
+  await waitUntil(() => read().includes("one"));
+  respond(2, "two");
+  await waitUntil(() => hasEnded(socket));
   t.deepEqual(statuses(read()), ["200", "200"]);
 });
 
-test("callers: an idle connection is closed", async (t) => {
-  const { server, socket, arrivals, answer, until, read } = await start(t);
+test("caller server: closes idle connections", async (t) => {
+  const { server, socket, arrivals, respond, waitUntil, read } = await start(t);
   socket.write(get("/1"));
-  await until(() => arrivals().length === 1);
-  answer(1, "one");
-  await until(() => read().includes("one"));
+  await waitUntil(() => arrivals().length === 1);
+  respond(1, "one");
+  await waitUntil(() => read().includes("one"));
   server.close();
-  await until(() => isOver(socket));
+  await waitUntil(() => hasEnded(socket));
   t.pass();
 });
 
-test("callers: a request that crosses the close of its connection is not taken", async (t) => {
-  const { server, socket, arrivals, answer, until, read } = await start(t);
+test("caller server: does not accept a request that crosses the close of its connection", async (t) => {
+  const { server, socket, arrivals, respond, waitUntil, read } = await start(t);
   socket.write(get("/1"));
-  await until(() => arrivals().length === 1);
-  answer(1, "one");
-  await until(() => read().includes("one"));
-  // Both in one turn of the loop: the bytes are there, and not read yet.
+  await waitUntil(() => arrivals().length === 1);
+  respond(1, "one");
+  await waitUntil(() => read().includes("one"));
+  // Both happen in one turn of the loop: the bytes have arrived but are unread.
   socket.write(get("/2"));
   server.close();
-  await until(() => isOver(socket));
+  await waitUntil(() => hasEnded(socket));
   t.deepEqual(arrivals().map(({ target }) => target), ["/1"]);
 });
 
-test("callers: a request behind the last answer of its connection is not taken", async (t) => {
-  const { server, socket, arrivals, answer, until, read } = await start(t);
+test("caller server: does not accept a request after the last response of its connection", async (t) => {
+  const { server, socket, arrivals, respond, waitUntil, read } = await start(t);
   socket.write(get("/1"));
-  await until(() => arrivals().length === 1);
+  await waitUntil(() => arrivals().length === 1);
   server.drain();
-  answer(1, "one");
+  respond(1, "one");
   socket.write(get("/2"));
-  await until(() => isOver(socket));
+  await waitUntil(() => hasEnded(socket));
   t.deepEqual(statuses(read()), ["200"]);
   t.deepEqual(arrivals().map(({ target }) => target), ["/1"]);
 });
 
-test.serial("callers: one that left while the process was busy is not served", async (t) => {
-  const { server, socket, arrivals, answer, until } = await start(t);
+test.serial("caller server: does not forward a request whose caller disconnected while the loop was blocked", async (t) => {
+  const { server, socket, arrivals, respond, waitUntil } = await start(t);
   socket.write(get("/1"));
-  await until(() => arrivals().length === 1);
-  answer(1, "one");
-  await until(() => socket.bytesRead > 0);
+  await waitUntil(() => arrivals().length === 1);
+  respond(1, "one");
+  await waitUntil(() => socket.bytesRead > 0);
   socket.write(get("/2"));
   socket.end();
   const busyUntil = Date.now() + 500;
@@ -211,104 +211,105 @@
   server.close();
 });
 
-test("callers: one that always sends before its answer is let go at the close", async (t) => {
-  const { server, socket, arrivals, answer, until, read } = await start(t);
+test("caller server: close ends a connection that always has another request", async (t) => {
+  const { server, socket, arrivals, respond, waitUntil, read } = await start(t);
   socket.write(get("/1"));
-  await until(() => arrivals().length === 1);
+  await waitUntil(() => arrivals().length === 1);
   server.drain();
   server.close();
   socket.write(get("/2"));
   await new Promise((next) => setTimeout(next, 50));
-  answer(1, "one");
-  await until(() => isOver(socket));
+  respond(1, "one");
+  await waitUntil(() => hasEnded(socket));
   t.deepEqual(statuses(read()), ["200"]);
   t.true(read().toLowerCase().includes("connection: close"));
   t.deepEqual(arrivals().map(({ target }) => target), ["/1"]);
 });
 
-/** A body that does not fit into the system's buffers, in bytes. */
-const LARGE = 30_000_000;
+/** Size of a body that does not fit into the socket buffers, in bytes. */
+const LARGE_BODY_SIZE = 30_000_000;
 
-test("callers: they are not closed before a slow reader has its whole answer", async (t) => {
-  const { server, socket, occurrences, arrivals, answer, until, read } =
+test("caller server: close waits until a slow reader has its complete response", async (t) => {
+  const { server, socket, occurrences, arrivals, respond, waitUntil, read } =
     await start(t);
   const isClosed = () =>
     occurrences.some(({ kind }) => kind === "callers.closed");
   socket.pause();
   socket.write(get("/1"));
-  await until(() => arrivals().length === 1);
-  answer(1, "x".repeat(LARGE));
+  await waitUntil(() => arrivals().length === 1);
+  respond(1, "x".repeat(LARGE_BODY_SIZE));
   server.close();
   await new Promise((next) => setTimeout(next, 100));
   t.false(isClosed());
   t.like(server.counts, { unanswered: 0, unsent: 1 });
   socket.resume();
-  await until(isClosed);
+  await waitUntil(isClosed);
   server.destroy();
-  await until(() => isOver(socket));
-  t.is(read().length - read().indexOf("\r\n\r\n") - 4, LARGE);
+  await waitUntil(() => hasEnded(socket));
+  t.is(read().length - read().indexOf("\r\n\r\n") - 4, LARGE_BODY_SIZE);
 });
 
-test("callers: one that goes on sending gets the end of its last answer", async (t) => {
-  const { server, socket, arrivals, answer, until, read } = await start(t);
+test("caller server: a caller that keeps sending receives its complete last response", async (t) => {
+  const { server, socket, arrivals, respond, waitUntil, read } = await start(t);
   socket.on("error", () => {});
   socket.pause();
   socket.write(get("/1"));
-  await until(() => arrivals().length === 1);
+  await waitUntil(() => arrivals().length === 1);
   server.drain();
-  // The system takes all of it, though the caller reads nothing yet.
-  answer(1, "x".repeat(1_000_000));
-  // Many turns of the loop and little time: the connection is read on for 2 s.
+  // The operating system accepts all of it before the caller reads anything.
+  respond(1, "x".repeat(1_000_000));
+  // Many turns of the loop in little time: the connection is read for 2 s.
   for (let i = 0; i < 200; i++) {
     socket.write(get("/more"));
     await new Promise((next) => setImmediate(next));
   }
   socket.resume();
-  await until(() => isOver(socket));
+  await waitUntil(() => hasEnded(socket));
   t.is(read().length - read().indexOf("\r\n\r\n") - 4, 1_000_000);
   t.deepEqual(arrivals().map(({ target }) => target), ["/1"]);
 });
 
-test("callers: they are closed at once when nothing was sent to them", async (t) => {
-  const { server, occurrences, until } = await start(t);
-  await until(() => server.counts.connections === 1);
+test("caller server: close completes at once without any responses", async (t) => {
+  const { server, occurrences, waitUntil } = await start(t);
+  await waitUntil(() => server.counts.connections === 1);
   server.close();
   t.deepEqual(occurrences.at(-1), { kind: "callers.closed" });
 });
 
-test("callers: one that was just answered is waited for until it ends its side", async (t) => {
-  const { server, socket, occurrences, arrivals, answer, until, read } =
+test("caller server: close waits for a caller that just received a response to end its side", async (t) => {
+  const { server, socket, occurrences, arrivals, respond, waitUntil, read } =
     await start(t);
   socket.write(get("/1"));
-  await until(() => arrivals().length === 1);
-  answer(1, "one");
-  await until(() => read().includes("one"));
+  await waitUntil(() => arrivals().length === 1);
+  respond(1, "one");
+  await waitUntil(() => read().includes("one"));
   server.close();
   const isClosed = () =>
     occurrences.some(({ kind }) => kind === "callers.closed");
-  // The answer may still be on its way, for all that this side knows.
+  // As far as this side knows, the response may still be in transit.
   t.false(isClosed());
-  await until(isClosed);
-  t.true(isOver(socket));
+  await waitUntil(isClosed);
+  t.true(hasEnded(socket));
 });
 
-/** Keeps the process from reading anything, in milliseconds. */
-function stall(milliseconds: number): void {
+/** Blocks the event loop, so that the process reads nothing. */
+function blockEventLoop(milliseconds: number): void {
   const end = Date.now() + milliseconds;
   while (Date.now() < end);
 }
 
-// Seen: a VM with more than twice its load was half a second behind and sent
-// requests on whose callers had given up before: sent at 7.389 s with 102 ms to
-// wait, at its server at 8.005 s. The time that a request has left was counted
-// from when it was read; its bytes had lain unread since long before.
-test.serial("callers: one whose time was over before it was read is refused", async (t) => {
-  const { server, socket, occurrences, arrivals, answer, until, read } =
+// Guards against forwarding requests whose deadline has passed. A VM at more
+// than twice its capacity was half a second behind: a request sent at 7.389 s
+// with a deadline of 102 ms reached its server at 8.005 s. The remaining time
+// was counted from when the request was read, although its bytes had arrived
+// long before.
+test.serial("caller server: rejects a request whose deadline passed before it was read", async (t) => {
+  const { server, socket, occurrences, arrivals, respond, waitUntil, read } =
     await start(t);
   socket.write(get("/1"));
-  await until(() => arrivals().length === 1);
-  answer(1, "one");
-  await until(() => read().includes("one"));
+  await waitUntil(() => arrivals().length === 1);
+  respond(1, "one");
+  await waitUntil(() => read().includes("one"));
   socket.write(
     get(
       "/2",
@@ -316,14 +317,14 @@
     ) +
       get("/3", "X-Plumloft-Deadline-Ms: 2000\r\n") + get("/4"),
   );
-  stall(500);
-  await until(() => arrivals().length === 3);
+  blockEventLoop(500);
+  await waitUntil(() => arrivals().length === 3);
   const [, third, fourth] = arrivals();
   t.is(third.target, "/3");
   t.true(third.timeout! > 1_000 && third.timeout! < 1_700, `${third.timeout}`);
   t.is(fourth.timeout, null);
-  answer(third.exchange, "three");
-  await until(() => statuses(read()).length === 3);
+  respond(third.exchange, "three");
+  await waitUntil(() => statuses(read()).length === 3);
   t.deepEqual(statuses(read()), ["200", "503", "200"]);
   t.is(server.counts.late, 1);
   const late = occurrences.flatMap((each) =>
@@ -333,27 +334,28 @@
   t.true(late[0].age >= 100, `${late[0].age}`);
 });
 
-test("callers: one that leaves is told of though an answer to it is stuck", async (t) => {
-  const { socket, occurrences, arrivals, answer, until } = await start(t);
+test("caller server: reports a disconnect while a response is blocked", async (t) => {
+  const { socket, occurrences, arrivals, respond, waitUntil } = await start(t);
   const left = () => occurrences.filter(({ kind }) => kind === "request.left");
   socket.pause();
   socket.write(get("/1") + get("/2"));
-  await until(() => arrivals().length === 2);
-  answer(1, "x".repeat(LARGE));
+  await waitUntil(() => arrivals().length === 2);
+  respond(1, "x".repeat(LARGE_BODY_SIZE));
   socket.end();
-  await until(() => left().length > 0);
+  await waitUntil(() => left().length > 0);
   t.deepEqual(left(), [{ kind: "request.left", exchange: 2 }]);
 });
 
-// Seen: a request that ended its servers came again at entries of three availability
-// zones, each time from another network address, since its caller has clients in all
-// of them. Each address was another request to the entries, and eight servers ended.
-test("callers: a request has the same fingerprint, whatever address its caller has", async (t) => {
-  const { connectFrom, arrivals, until } = await start(t);
+// Guards against fingerprints that depend on the caller's address. A request
+// that crashed its servers was retried through VMs in three availability zones,
+// each time from another address, since its caller has clients in all of them.
+// Each address counted as a different request, and eight servers crashed.
+test("caller server: the fingerprint of a request is independent of the caller's address", async (t) => {
+  const { connectFrom, arrivals, waitUntil } = await start(t);
   for (const address of ["127.0.0.1", "127.0.0.2", "127.0.0.3"]) {
     connectFrom(address).write(get("/ends"));
   }
-  await until(() => arrivals().length === 3);
+  await waitUntil(() => arrivals().length === 3);
   const whole = arrivals().map(({ fingerprint }) => fingerprint.whole);
   t.is(new Set(whole).size, 1);
 });
--- a/src/runtime/effect_runner.ts
+++ b/src/runtime/effect_runner.ts
@@ -20,7 +20,7 @@
 import type { Journal } from "../logging/index.ts";
 import type { BackendPool } from "./backend_pool.ts";
 import type { CallerServer } from "./caller_server.ts";
-import type { EffectHandler, OccurrenceSink } from "./entry_loop.ts";
+import type { EffectHandler, EventSink } from "./entry_loop.ts";
 import type { EntryMetrics } from "./entry_metrics.ts";
 import { monotonicNow } from "./monotonic_clock.ts";
 import type { PeerNetwork } from "./peer_network.ts";
@@ -40,7 +40,7 @@
 
 /** Components that execute the effects. */
 export interface EffectAdapters {
-  sink: OccurrenceSink;
+  sink: EventSink;
   callers: CallerServer;
   backends: BackendPool;
   orders: OrderSender;
@@ -53,7 +53,7 @@
   metrics: EntryMetrics;
   logger: Journal;
   /** Starts or pauses reading the store's feeds. */
-  setFeedsEnabled(isOn: boolean): void;
+  setFeedsEnabled(isEnabled: boolean): void;
   /** Reads the configuration immediately. */
   refetchConfiguration(): void;
   /** Called when the core ends the process. */
@@ -153,8 +153,8 @@
   }
 
   /**
-   * The counts before the close tell requests that the close cuts from requests
-   * that arrive afterwards.
+   * Logs the counts at the close, which distinguish requests that the close cuts
+   * from requests that arrive at the same time.
    */
   #closeCallers(): void {
     const { callers, logger } = this.adapters;
@@ -168,10 +168,10 @@
   }
 
   /**
-   * The server, its address and the token distinguish orders for the same keys
-   * to two servers. `took`, in milliseconds, and `mayConnect` distinguish an
-   * order that was withheld because of its age from one that was not allowed to
-   * open a connection.
+   * Logs an order that was not accepted. The server, its address and the token
+   * distinguish orders for the same keys to two servers. `took`, in
+   * milliseconds, and `mayConnect` distinguish an order that was withheld
+   * because of its age from one that was not allowed to open a connection.
    */
   #logOrder(
     order: KeyOrder,
--- a/src/runtime/entry_loop.ts
+++ b/src/runtime/entry_loop.ts
@@ -37,9 +37,9 @@
   }
 }
 
-/** Receives occurrences for the loop. */
-export interface OccurrenceSink {
-  push(occurrence: Occurrence): void;
+/** Receives events for the loop. */
+export interface EventSink {
+  push(event: Occurrence): void;
 }
 
 /** Executes effects; never throws. */
@@ -48,7 +48,7 @@
 }
 
 /** See the module's comment. */
-export class EntryLoop implements OccurrenceSink {
+export class EntryLoop implements EventSink {
   readonly #eventTarget = new LoopEventTarget();
   readonly #queue: Occurrence[] = [];
   #isRunning = false;
@@ -79,11 +79,11 @@
   }
 
   /**
-   * Processes an occurrence. One that is pushed while another is processed is
+   * Processes an event. One that is pushed while another is processed is
    * queued.
    */
-  push(occurrence: Occurrence): void {
-    this.#queue.push(occurrence);
+  push(event: Occurrence): void {
+    this.#queue.push(event);
     if (this.#isRunning || this.#isStopped) return;
     this.#isRunning = true;
     try {
@@ -100,7 +100,7 @@
     this.#setTimer();
   }
 
-  /** Ignores all further occurrences. */
+  /** Ignores all further events. */
   stop(): void {
     this.#isStopped = true;
     this.#unsubscribeClock();
--- a/src/runtime/entry_process.ts
+++ b/src/runtime/entry_process.ts
@@ -161,8 +161,8 @@
       readiness: this.#readinessServer,
       metrics,
       logger: this.#logger,
-      setFeedsEnabled: (isOn) => {
-        for (const follower of this.#followers) follower.setEnabled(isOn);
+      setFeedsEnabled: (isEnabled) => {
+        for (const follower of this.#followers) follower.setEnabled(isEnabled);
       },
       refetchConfiguration: () => this.#configurationFollower?.refresh(),
       onStopped: () => this.#stop(),
--- a/src/runtime/entry_process_test.ts
+++ b/src/runtime/entry_process_test.ts
@@ -1,11 +1,11 @@
 /**
- * Seen: around a restart a caller's connection ended without an answer, though
- * the process had read the request. A VM closes its callers' connections some
- * seconds after SIGTERM and used to stop in the same step once the core had no
- * request pending. The core does not know of a request whose body is still
- * being read, nor of an answer that waits for a slow reader: both were cut by
- * force. Proof: the first test's answer never came, and of 14,297 answers that
- * were given to a caller that reads slowly 528 arrived.
+ * Guards against connections that end without a response around a restart,
+ * although the process had read the request. A VM closes its callers'
+ * connections some seconds after SIGTERM, and used to exit in the same step if
+ * the core had no pending request. The core does not know of a request whose
+ * body is still being read, nor of a response that waits for a slow reader:
+ * both were cut. The first test then received no response, and of 14,297
+ * responses to a slow caller 528 arrived.
  *
  * @module
  */
@@ -13,89 +13,101 @@
 import { setTimeout as delay } from "node:timers/promises";
 import { startEntryInProcess } from "../../test/support/entry_in_process.ts";
 
-/** Time between the request to stop and the end by force, in seconds. */
-const TIMEOUT = 2;
-/** Time of it after which callers' connections are closed, in milliseconds. */
+/** Time between the request to stop and the forced termination, in seconds. */
+const SHUTDOWN_TIMEOUT = 2;
+/** Time after which callers' connections are closed, in milliseconds. */
 const CLOSE_AFTER = 1_200;
-/** Time for which a process is kept from its loop, in milliseconds. */
+/** Time for which the event loop is blocked, in milliseconds. */
 const BUSY_TIME = 700;
-/** Time by which something happens after the close, in milliseconds. */
-const LATER = 150;
+/** Time for bytes to be processed, in milliseconds. */
+const SETTLE_TIME = 150;
 
 function statuses(text: string): string[] {
   return [...text.matchAll(/HTTP\/1\.1 (\d+)/g)].map((match) => match[1]);
 }
 
-/** Watches how late this process's loop runs; the function tells by how many
- * milliseconds it was at worst since. */
-function watchLateness(): () => number {
-  const pause = 10;
-  let lookedAt = performance.now();
-  let worst = 0;
+/**
+ * Measures the delay of the event loop. The returned function stops the
+ * measurement and returns the maximum delay in milliseconds.
+ */
+function measureLateness(): () => number {
+  const interval = 10;
+  let measuredAt = performance.now();
+  let maximum = 0;
   const timer = setInterval(() => {
     const now = performance.now();
-    worst = Math.max(worst, now - lookedAt - pause);
-    lookedAt = now;
-  }, pause);
+    maximum = Math.max(maximum, now - measuredAt - interval);
+    measuredAt = now;
+  }, interval);
   return () => {
     clearInterval(timer);
-    return Math.max(worst, performance.now() - lookedAt - pause);
+    return Math.max(maximum, performance.now() - measuredAt - interval);
   };
 }
 
-test.serial("stop: a request whose body ends after the close is answered", async (t) => {
-  const { entry, connect } = await startEntryInProcess(t, TIMEOUT);
+test.serial("stop: responds to a request whose body ends after the close", async (t) => {
+  const { entry, connect } = await startEntryInProcess(t, SHUTDOWN_TIMEOUT);
   const caller = connect();
   let text = "";
   caller.on("data", (bytes) => text += String(bytes));
   const ended = new Promise((resolve) => caller.once("close", resolve));
   caller.write("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\nhello");
-  await delay(LATER);
+  await delay(SETTLE_TIME);
   entry.shutdown();
-  await delay(CLOSE_AFTER + LATER);
+  await delay(CLOSE_AFTER + SETTLE_TIME);
   caller.write("world");
   await ended;
   t.deepEqual(statuses(text), ["503"]);
 });
 
-test.serial("stop: idle connections and half a header do not keep the process", async (t) => {
-  const { entry, connect } = await startEntryInProcess(t, TIMEOUT);
+test.serial("stop: idle connections and partial headers do not delay the exit", async (t) => {
+  const { entry, connect } = await startEntryInProcess(t, SHUTDOWN_TIMEOUT);
   connect();
   const used = connect();
   used.write("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
   used.resume();
   connect().write("GET / HT");
-  await delay(LATER);
+  await delay(SETTLE_TIME);
   const startedAt = performance.now();
   entry.shutdown();
   await entry.stopped;
   const took = performance.now() - startedAt;
-  t.true(took < CLOSE_AFTER + LATER, `${took} ms`);
+  t.true(took < CLOSE_AFTER + SETTLE_TIME, `${took} ms`);
 });
 
 test.serial("stop: one that never sends the rest of its body does not keep the process", async (t) => {
-  const { entry, connect, log } = await startEntryInProcess(t, TIMEOUT);
+  const { entry, connect, log } = await startEntryInProcess(
+    t,
+    SHUTDOWN_TIMEOUT,
+  );
   connect().write("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\n");
-  await delay(LATER);
-  const lateness = watchLateness();
+  await delay(SETTLE_TIME);
+  const lateness = measureLateness();
   const startedAt = performance.now();
   entry.shutdown();
   await entry.stopped;
   const took = performance.now() - startedAt;
   const late = lateness();
   t.log(`stopped after ${took.toFixed(0)} ms, loop late by ${late.toFixed(0)}`);
-  t.true(took < TIMEOUT * 1_000, `${took} ms, loop late by ${late} ms`);
-  await delay(LATER);
-  t.is(log().at(-1)?.unanswered, 1, "the line of the stop tells of it");
+  t.true(
+    took < SHUTDOWN_TIMEOUT * 1_000,
+    `${took} ms, loop late by ${late} ms`,
+  );
+  await delay(SETTLE_TIME);
+  t.is(log().at(-1)?.unanswered, 1, "the last log line reports it");
 });
 
-// Seen: a read that its caller sent 3.601 s after SIGTERM, on a connection kept
-// from before, ran at its server and got no answer. Its bytes lay unread on a
-// connection that was closed in that moment, and were still passed on while other
-// requests kept the process. caller_server_test ("crosses the close") shows that
-// turn of the loop; this is the whole process with nothing else in flight.
-test.serial("stop: a request that meets the close is answered or never taken", async (t) => {
-  const { entry, connect, log } = await startEntryInProcess(t, TIMEOUT);
+// Guards against losing a request that arrives at the close. A request sent
+// 3.601 s after SIGTERM on an idle connection ran at its server and got no
+// response. Its bytes were unread when the connection was closed, and were
+// still forwarded while other requests kept the process alive.
+// caller_server_test ("crosses the close") covers that turn of the loop; this
+// test covers the whole process with nothing else in flight.
+test.serial("stop: a request that arrives at the close is either answered or not accepted", async (t) => {
+  const { entry, connect, log } = await startEntryInProcess(
+    t,
+    SHUTDOWN_TIMEOUT,
+  );
   let texts = "";
   const callers = Array.from({ length: 100 }, () => connect());
   const ended = callers.map((caller) =>
@@ -106,41 +118,47 @@
     caller.on("error", () => {});
     caller.write("GET /kept HTTP/1.1\r\nHost: h\r\n\r\n");
   }
-  await delay(LATER);
+  await delay(SETTLE_TIME);
   entry.shutdown();
-  await delay(CLOSE_AFTER - LATER);
+  await delay(CLOSE_AFTER - SETTLE_TIME);
   for (const caller of callers) {
     await delay(2);
     if (caller.writable) caller.write("GET /met HTTP/1.1\r\nHost: h\r\n\r\n");
   }
   await Promise.all([...ended, entry.stopped]);
-  await delay(LATER);
-  const taken = log().filter(({ target }) => target !== undefined);
-  const met = taken.filter(({ target }) => target === "/met").length;
-  t.true(met > 0 && met < callers.length, `${met}`);
-  t.is(statuses(texts).length, taken.length);
+  await delay(SETTLE_TIME);
+  const accepted = log().filter(({ target }) => target !== undefined);
+  const acceptedAtClose =
+    accepted.filter(({ target }) => target === "/met").length;
+  t.true(
+    acceptedAtClose > 0 && acceptedAtClose < callers.length,
+    `${acceptedAtClose}`,
+  );
+  t.is(statuses(texts).length, accepted.length);
 });
 
-/** Keeps this process from its loop for some milliseconds. */
-function block(milliseconds: number): void {
+/** Blocks the event loop for some milliseconds. */
+function blockEventLoop(milliseconds: number): void {
   const end = performance.now() + milliseconds;
   while (performance.now() < end);
 }
 
-// Seen: a request that was taken 3.2 s after SIGTERM ran at its server and got no
-// answer; the process stopped 5.76 s after the signal, as it must. Requests that come
-// so late are turned away by now, but the times of a shutdown counted from when the
-// process saw the signal. One that is busy then takes requests for so much longer,
-// and is ended by force before its own end.
-test.serial("stop: its time counts from the signal, which a busy process sees late", async (t) => {
-  const { entry, connect } = await startEntryInProcess(t, TIMEOUT);
+// Guards against a shutdown timeout that starts late. A request that was
+// accepted 3.2 s after SIGTERM ran at its server and got no response; the
+// process exited 5.76 s after the signal, as required. Requests that arrive
+// this late are rejected, but the times of a shutdown must not count from when
+// the process handles the signal: a process that is busy at that time would
+// accept requests for that much longer, and would be terminated by force before
+// its own exit.
+test.serial("stop: the timeout counts from the signal even if the event loop is blocked", async (t) => {
+  const { entry, connect } = await startEntryInProcess(t, SHUTDOWN_TIMEOUT);
   connect().write("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\n");
-  await delay(LATER);
+  await delay(SETTLE_TIME);
   process.once("SIGTERM", () => entry.shutdown());
   const startedAt = performance.now();
   process.kill(process.pid, "SIGTERM");
-  block(BUSY_TIME);
+  blockEventLoop(BUSY_TIME);
   await entry.stopped;
   const took = performance.now() - startedAt;
-  t.true(took < TIMEOUT * 1_000, `${took} ms`);
+  t.true(took < SHUTDOWN_TIMEOUT * 1_000, `${took} ms`);
 });
--- a/src/runtime/feed_follower.ts
+++ b/src/runtime/feed_follower.ts
@@ -8,7 +8,7 @@
 import { errorText } from "../errors/index.ts";
 import { monotonicNow } from "./monotonic_clock.ts";
 import type { ControlStore, Feed, StoreRead } from "./control_store.ts";
-import type { OccurrenceSink } from "./entry_loop.ts";
+import type { EventSink } from "./entry_loop.ts";
 import type { EntryMetrics } from "./entry_metrics.ts";
 import { DecodeFailureLog } from "./record_faults.ts";
 
@@ -61,7 +61,7 @@
     private readonly store: ControlStore,
     private readonly feed: Feed,
     private readonly timing: FeedTiming,
-    private readonly sink: OccurrenceSink,
+    private readonly sink: EventSink,
     private readonly failureLog: DecodeFailureLog,
   ) {}
 
@@ -70,7 +70,7 @@
     store: ControlStore,
     feed: Feed,
     timing: FeedTiming,
-    sink: OccurrenceSink,
+    sink: EventSink,
     logger: Journal,
     metrics: EntryMetrics,
   ): FeedFollower {
@@ -179,6 +179,6 @@
   #applyRead(read: StoreRead, sentAt: number): void {
     this.sink.push({ kind: "store.answered", sentAt });
     this.failureLog.update(read);
-    for (const occurrence of read.occurrences) this.sink.push(occurrence);
+    for (const event of read.occurrences) this.sink.push(event);
   }
 }
--- a/src/runtime/feed_follower_test.ts
+++ b/src/runtime/feed_follower_test.ts
@@ -5,13 +5,15 @@
 import { EntryMetrics } from "./entry_metrics.ts";
 import { FeedFollower } from "./feed_follower.ts";
 
-/** Longest wait of a read here, in milliseconds. */
-const WAIT = 29_000;
+/** Long-poll timeout in these tests, in milliseconds. */
+const LONG_POLL_TIMEOUT = 29_000;
 
-/** The waits that a follower asks for, of a store whose reads answer as `answers`
- * say in turn; then no more. */
-function follow(answers: readonly ("news" | "failure")[]) {
-  const waits: number[] = [];
+/**
+ * Follows a store whose reads end as `results` say, and then no more. Returns
+ * the long-poll timeouts of the reads.
+ */
+function startFollower(results: readonly ("update" | "failure")[]) {
+  const timeouts: number[] = [];
   const read: StoreRead = {
     occurrences: [],
     faults: [],
@@ -19,19 +21,19 @@
     isWhole: false,
     next: 1,
   };
-  let count = 0;
-  let whole = 0;
+  let readCount = 0;
+  let readAllCount = 0;
   const store = {
     readAll: () => {
-      whole += 1;
+      readAllCount += 1;
       return Promise.resolve(read);
     },
-    readOn: (_feed: string, _from: number, wait: number) => {
-      waits.push(wait);
-      const answer = answers[count];
-      count += 1;
-      if (answer === "failure") return Promise.reject(new Error("reset"));
-      if (answer === "news") return Promise.resolve(read);
+    readOn: (_feed: string, _from: number, timeout: number) => {
+      timeouts.push(timeout);
+      const result = results[readCount];
+      readCount += 1;
+      if (result === "failure") return Promise.reject(new Error("reset"));
+      if (result === "update") return Promise.resolve(read);
       return new Promise<StoreRead>(() => {});
     },
     isExpired: () => false,
@@ -42,7 +44,7 @@
     store,
     "configuration",
     {
-      longPollTimeout: WAIT,
+      longPollTimeout: LONG_POLL_TIMEOUT,
       longPollTimeoutAfterFailure: 500,
       readInterval: 0,
     },
@@ -50,25 +52,29 @@
     Journal.create("vm", "error", output),
     EntryMetrics.create(() => ({})),
   );
-  return { follower, waits, readAll: () => whole };
+  return { follower, timeouts, readAll: () => readAllCount };
 }
 
-test("feed: reads wait long for news while nothing has failed", async (t) => {
-  const { follower, waits } = follow(["news", "news"]);
+test("feed follower: uses the long-poll timeout while no read has failed", async (t) => {
+  const { follower, timeouts } = startFollower(["update", "update"]);
   await new Promise((next) => setTimeout(next, 50));
   follower.stop();
-  t.deepEqual(waits, [WAIT, WAIT, WAIT]);
+  t.deepEqual(timeouts, [
+    LONG_POLL_TIMEOUT,
+    LONG_POLL_TIMEOUT,
+    LONG_POLL_TIMEOUT,
+  ]);
 });
 
-test("feed: one that is turned off begins no read until it is turned on", async (t) => {
-  const { follower, waits, readAll } = follow(["news"]);
+test("feed follower: starts no read while it is disabled", async (t) => {
+  const { follower, timeouts, readAll } = startFollower(["update"]);
   follower.setEnabled(false);
   await new Promise((next) => setTimeout(next, 50));
-  t.deepEqual(waits, []);
+  t.deepEqual(timeouts, []);
   follower.setEnabled(true);
   await new Promise((next) => setTimeout(next, 50));
-  t.deepEqual(waits, [WAIT, WAIT]);
-  // The read that still waits may never be answered: another is made beside it.
+  t.deepEqual(timeouts, [LONG_POLL_TIMEOUT, LONG_POLL_TIMEOUT]);
+  // The pending read may never end: another one is started in parallel.
   const before = readAll();
   follower.setEnabled(false);
   follower.setEnabled(true);
@@ -76,9 +82,9 @@
   follower.stop();
 });
 
-test("feed: reads just after a failure wait shortly, since their answers may be lost", async (t) => {
-  const { follower, waits } = follow(["failure", "news"]);
+test("feed follower: uses the short long-poll timeout after a failed read", async (t) => {
+  const { follower, timeouts } = startFollower(["failure", "update"]);
   await new Promise((next) => setTimeout(next, 600));
   follower.stop();
-  t.deepEqual(waits, [WAIT, 500, 500]);
+  t.deepEqual(timeouts, [LONG_POLL_TIMEOUT, 500, 500]);
 });
--- a/src/runtime/frame_test.ts
+++ b/src/runtime/frame_test.ts
@@ -16,7 +16,7 @@
   fc.record({ kind: fc.string(), value: fc.jsonValue({ maxDepth: 5 }) }),
 );
 
-test("frames: whatever is encoded comes out again, however it is cut", (t) => {
+test("frames: decodes what was encoded, from chunks of any size", (t) => {
   fc.assert(
     fc.property(
       fc.array(messages, { maxLength: 20 }),
@@ -36,7 +36,7 @@
   );
 });
 
-test("frames: large ones are deflated and come out again, however they are cut", (t) => {
+test("frames: deflates large values and decodes them from chunks of any size", (t) => {
   const value = (i: number) => ({
     kind: "told",
     routes: Array.from(
@@ -58,21 +58,21 @@
   }
 });
 
-test("frames: one that is over-long once it is inflated is refused", (t) => {
+test("frames: rejects a frame that inflates beyond the limit", (t) => {
   const value = { kind: "told", text: "x".repeat(MAXIMUM_FRAME_LENGTH) };
   const bytes = encodeFrame(value, true);
   t.true(bytes.length < MAXIMUM_FRAME_LENGTH / 100);
   t.throws(() => FrameDecoder.create().push(bytes));
 });
 
-test("frames: one that is over-long is refused before it is read", (t) => {
+test("frames: rejects an oversized frame by its length field", (t) => {
   const header = Buffer.alloc(4);
   header.writeUInt32BE(MAXIMUM_FRAME_LENGTH + 1, 0);
   const error = t.throws(() => FrameDecoder.create().push(header));
   t.snapshot(error?.message);
 });
 
-test("frames: garbage is refused", (t) => {
+test("frames: rejects invalid data", (t) => {
   const garbage = Buffer.from([0, 0, 0, 2, 0xff, 0xff]);
   t.throws(() => FrameDecoder.create().push(garbage));
 });
--- a/src/runtime/hostile_text_test.ts
+++ b/src/runtime/hostile_text_test.ts
@@ -1,7 +1,7 @@
 /**
- * An error that is thrown while an effect is carried out ends the process, and
- * with it every request that it has in hand. Texts from outside, of the registry
- * or of a backend server, that cannot be sent on must end one attempt at most.
+ * An exception while an effect is executed ends the process, and with it all
+ * requests in flight. Invalid text from the registry or from a backend server
+ * that cannot be forwarded must fail at most one attempt.
  *
  * @module
  */
@@ -21,15 +21,18 @@
   return new Promise((resolve) => setTimeout(resolve, PAUSE));
 }
 
-/** Sends a request to a server as it is listed; what came of it. */
-async function attempt(server: string, address: string) {
+/**
+ * Sends a request to a server of the registry; returns the outcomes and the
+ * response.
+ */
+async function runAttempt(server: string, address: string) {
   const outcomes: string[] = [];
-  let answer: BackendResponse | null = null;
+  let response: BackendResponse | null = null;
   const pool = BackendPool.create(PlatformHeaders.create(), {
     push: (each) => {
       if (each.kind !== "attempt.ended") return;
       outcomes.push(each.outcome.kind);
-      answer = pool.takeResponse(each.attempt);
+      response = pool.takeResponse(each.attempt);
     },
   });
   pool.send({
@@ -48,16 +51,22 @@
   });
   await pause();
   pool.close();
-  return { outcomes, answer: answer as BackendResponse | null };
+  return { outcomes, response: response as BackendResponse | null };
 }
 
-/** Address of a server that answers with this line, signed. */
-async function answering(t: ExecutionContext, line: string): Promise<string> {
+/**
+ * Starts a server that responds with this status line and a signature; returns
+ * its address.
+ */
+async function startServer(
+  t: ExecutionContext,
+  statusLine: string,
+): Promise<string> {
   const server = createServer((socket: Socket) => {
     socket.on("error", () => {});
     socket.once("data", () =>
       socket.end(
-        `HTTP/1.1 ${line}\r\nX-Plumloft-Request-Id: r\r\n` +
+        `HTTP/1.1 ${statusLine}\r\nX-Plumloft-Request-Id: r\r\n` +
           "X-Plumloft-Response-Signature: s\r\nContent-Length: 2\r\n\r\nok",
       ));
   });
@@ -67,8 +76,10 @@
   return address;
 }
 
-/** What a caller gets of an answer. */
-async function passOn(t: ExecutionContext, answer: BackendResponse) {
+/**
+ * Forwards a response to a caller; returns the bytes that the caller receives.
+ */
+async function forward(t: ExecutionContext, response: BackendResponse) {
   const { server, socket, read } = await connectCaller(t, {
     maximumHeaderBytes: 1_000,
     maximumBodyBytes: 1_000,
@@ -77,30 +88,30 @@
   });
   socket.write("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
   await pause();
-  server.deliver(1, answer);
+  server.deliver(1, response);
   await pause();
   return read();
 }
 
-test("hostile text: an entry with a port that there is not fails its attempt", async (t) => {
-  const { outcomes } = await attempt(SERVER, "127.0.0.1:99999");
+test("hostile text: an entry with an invalid port fails its attempt", async (t) => {
+  const { outcomes } = await runAttempt(SERVER, "127.0.0.1:99999");
   t.deepEqual(outcomes, ["failed"]);
 });
 
-test("hostile text: an entry whose id fits into no header fails its attempt", async (t) => {
-  const { outcomes } = await attempt("i-\ufffd", loopbackAddress());
+test("hostile text: an entry whose id is not a valid header value fails its attempt", async (t) => {
+  const { outcomes } = await runAttempt("i-\ufffd", loopbackAddress());
   t.deepEqual(outcomes, ["failed"]);
 });
 
-test("hostile text: an answer with a status that there is not is none", async (t) => {
-  const address = await answering(t, "099 Odd");
-  const { outcomes } = await attempt(SERVER, address);
+test("hostile text: a response with an invalid status fails its attempt", async (t) => {
+  const address = await startServer(t, "099 Odd");
+  const { outcomes } = await runAttempt(SERVER, address);
   t.deepEqual(outcomes, ["failed"]);
 });
 
-test("hostile text: an answer is passed on whatever its status is called", async (t) => {
-  const address = await answering(t, "200 O\x01K");
-  const { outcomes, answer } = await attempt(SERVER, address);
+test("hostile text: forwards a response with an invalid status text", async (t) => {
+  const address = await startServer(t, "200 O\x01K");
+  const { outcomes, response } = await runAttempt(SERVER, address);
   t.deepEqual(outcomes, ["answered"]);
-  t.regex(await passOn(t, answer!), /^HTTP\/1\.1 200 .*\r\n\r\nok$/s);
+  t.regex(await forward(t, response!), /^HTTP\/1\.1 200 .*\r\n\r\nok$/s);
 });
--- a/src/runtime/http_client.ts
+++ b/src/runtime/http_client.ts
@@ -71,7 +71,7 @@
  */
 export class ConnectionLackError extends Error {
   private constructor() {
-    super("no connection");
+    super("no connection available");
   }
 
   /** Creates an error for one call. */
@@ -91,7 +91,7 @@
  * See the module's comment.
  *
  * ```ts
- * const answer = await client.send("127.0.0.1:80", {
+ * const response = await client.send("127.0.0.1:80", {
  *   method: "GET",
  *   path: "/status",
  *   timeout: 500,
@@ -159,7 +159,7 @@
     request.end(body);
     return receiveResponse(request)
       .catch((error: Error) => {
-        throw isTimedOut ? new Error("no answer") : error;
+        throw isTimedOut ? new Error("response timed out") : error;
       })
       .finally(() => clearTimeout(timer));
   }
--- a/src/runtime/http_client_test.ts
+++ b/src/runtime/http_client_test.ts
@@ -6,15 +6,17 @@
 const OPTIONS = { connectTimeout: 300, connections: 4, idleTimeout: 4_000 };
 const CALL = { method: "GET", path: "/", timeout: 150 } as const;
 
-/** A server whose handler is asked for each request, with its connections. */
+/**
+ * Starts a server that calls `respond` for each request; counts connections.
+ */
 async function startServer(
   t: ExecutionContext,
-  answer: (path: string) => string | null,
+  respond: (path: string) => string | null,
 ) {
   const connections = new Set<unknown>();
   const server: Server = createServer((request, response) => {
     connections.add(request.socket);
-    const text = answer(request.url ?? "");
+    const text = respond(request.url ?? "");
     if (text !== null) response.end(text);
   });
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
@@ -37,14 +39,14 @@
   const client = createClient(t);
   const bodies: string[] = [];
   for (let i = 0; i < 3; i++) {
-    const answer = await client.send(address, CALL);
-    bodies.push(`${answer.status} ${answer.body}`);
+    const response = await client.send(address, CALL);
+    bodies.push(`${response.status} ${response.body}`);
   }
   t.is(connections.size, 1);
   t.snapshot(bodies);
 });
 
-test("http client: a call without an answer ends in time, and no idle connection outlives it", async (t) => {
+test("http client: a call that times out also closes idle connections to its address", async (t) => {
   const { address, connections } = await startServer(
     t,
     (path) => path === "/silent" ? null : "yes",
@@ -55,12 +57,12 @@
   t.is(connections.size, 2);
   const silent = client.send(address, { ...CALL, path: "/silent" });
   const error = await t.throwsAsync(silent);
-  t.is(error?.message, "no answer");
+  t.is(error?.message, "response timed out");
   await client.send(address, CALL);
   t.is(connections.size, 3);
 });
 
-test("http client: a call that is given up resets its connection", async (t) => {
+test("http client: an aborted call resets its connection", async (t) => {
   const { address } = await startServer(t, () => null);
   const client = createClient(t);
   const controller = new AbortController();
@@ -69,7 +71,7 @@
   await t.throwsAsync(call);
 });
 
-test("http client: an answer that is cut short is none", async (t) => {
+test("http client: rejects a truncated response", async (t) => {
   const server = createServer((_, response) => {
     response.writeHead(200, { "content-length": "100" });
     response.write("half");
@@ -81,7 +83,7 @@
   await t.throwsAsync(createClient(t).send(`127.0.0.1:${port}`, CALL));
 });
 
-test("http client: bytes of a call that timed out are not delivered later", async (t) => {
+test("http client: resets the connection of a call that times out", async (t) => {
   const ends: Promise<string>[] = [];
   const server = createServer().on("connection", (socket) => {
     ends.push(
@@ -103,44 +105,45 @@
   const { port } = server.address() as AddressInfo;
   const client = createClient(t);
   await t.throwsAsync(client.send(`127.0.0.1:${port}`, CALL), {
-    message: "no answer",
+    message: "response timed out",
   });
   t.deepEqual(await Promise.all(ends), ["ECONNRESET"]);
 });
 
-test("http client: a call that timed out leaves connections to other addresses", async (t) => {
-  const sound = await startServer(t, () => "yes");
-  const silent = await startServer(t, () => null);
+test("http client: a call that times out keeps connections to other addresses", async (t) => {
+  const responsive = await startServer(t, () => "yes");
+  const unresponsive = await startServer(t, () => null);
   const client = createClient(t);
-  await client.send(sound.address, CALL);
-  await t.throwsAsync(client.send(silent.address, CALL));
-  await client.send(sound.address, CALL);
-  t.is(sound.connections.size, 1);
+  await client.send(responsive.address, CALL);
+  await t.throwsAsync(client.send(unresponsive.address, CALL));
+  await client.send(responsive.address, CALL);
+  t.is(responsive.connections.size, 1);
 });
 
-test("http client: a call opens no connection after its time for that", async (t) => {
+test("http client: a call opens no connection after its limit", async (t) => {
   const { address, connections } = await startServer(
     t,
     (path) => path === "/silent" ? null : "text",
   );
   const client = HttpClient.create({ ...OPTIONS, connections: 1 });
   t.teardown(() => client.close());
-  const none = client.send(address, { ...CALL, connectWithin: 0 });
-  await t.throwsAsync(none, { message: "no connection" });
+  const rejected = client.send(address, { ...CALL, connectWithin: 0 });
+  await t.throwsAsync(rejected, { message: "no connection available" });
   const silent = client.send(address, { ...CALL, path: "/silent" });
-  // It waits for the connection of the call before, which is reset.
+  // Waits for the connection of the previous call, which is reset.
   const late = { ...CALL, timeout: 1_000, connectWithin: 50 };
   const waiting = client.send(address, late);
-  await t.throwsAsync(silent, { message: "no answer" });
-  await t.throwsAsync(waiting, { message: "no connection" });
+  await t.throwsAsync(silent, { message: "response timed out" });
+  await t.throwsAsync(waiting, { message: "no connection available" });
   t.is(connections.size, 1);
   await client.send(address, { ...CALL, connectWithin: 50 });
-  const kept = client.send(address, { ...CALL, connectWithin: 0 });
-  await t.notThrowsAsync(kept);
+  const reused = client.send(address, { ...CALL, connectWithin: 0 });
+  await t.notThrowsAsync(reused);
 });
 
-/** A server that sends half of an answer, piece by piece, and then the rest or
- * nothing more. */
+/**
+ * Starts a server that sends its response in pieces, all of it or only half.
+ */
 async function startSlowServer(t: ExecutionContext, isWhole: boolean) {
   const pieces = 8;
   const server = createServer((_, response) => {
@@ -163,7 +166,7 @@
   return `127.0.0.1:${port}`;
 }
 
-test("http client: an answer that keeps coming is taken, one that stalls is not", async (t) => {
+test("http client: accepts a slow response, and rejects one that stalls", async (t) => {
   const client = createClient(t);
   const transfer = { stall: 250, longest: 5_000 };
   const whole = await startSlowServer(t, true);
@@ -174,6 +177,6 @@
   for (
     const calls of [client.send(whole, bounded), client.send(stalling, call)]
   ) {
-    t.is((await t.throwsAsync(calls))?.message, "no answer");
+    t.is((await t.throwsAsync(calls))?.message, "response timed out");
   }
 });
--- a/src/runtime/peer_network.ts
+++ b/src/runtime/peer_network.ts
@@ -10,7 +10,7 @@
 import { type PeerMessage, peerMessageSchema } from "../core/peers/index.ts";
 import { type Journal } from "../logging/index.ts";
 import { parseAddress } from "../settings/index.ts";
-import type { OccurrenceSink } from "./entry_loop.ts";
+import type { EventSink } from "./entry_loop.ts";
 import { encodeFrame, FrameDecoder, PROTOCOL_VERSION } from "./frame.ts";
 import { monotonicNow } from "./monotonic_clock.ts";
 import { errorText } from "../errors/index.ts";
@@ -105,7 +105,7 @@
 
   private constructor(
     private readonly identity: PeerIdentity,
-    private readonly sink: OccurrenceSink,
+    private readonly sink: EventSink,
     private readonly logger: Journal,
   ) {
     this.#server = createServer((socket) => this.#addSocket(socket));
@@ -114,7 +114,7 @@
   /** Creates a network for the process `identity`. */
   static create(
     identity: PeerIdentity,
-    sink: OccurrenceSink,
+    sink: EventSink,
     logger: Journal,
   ): PeerNetwork {
     return new PeerNetwork(identity, sink, logger);
--- a/src/runtime/peer_network_test.ts
+++ b/src/runtime/peer_network_test.ts
@@ -17,7 +17,7 @@
   configuration: 1,
 };
 
-/** A network whose received messages are kept. */
+/** Creates a network that records received messages. */
 function createNetwork(address: string) {
   const received: Occurrence[] = [];
   const network = PeerNetwork.create(
@@ -28,8 +28,10 @@
   return { network, received };
 }
 
-/** Two networks, of which the second, at `b`, has heard the first, which does not
- * listen at `a`. */
+/**
+ * Connects two networks. The second, at `b`, has received a message from the
+ * first, which does not listen at `a`.
+ */
 async function connectNetworks(t: ExecutionContext) {
   const [a, b] = [loopbackAddress(), loopbackAddress()];
   const first = createNetwork(a);
@@ -46,9 +48,9 @@
   return { a, first, second };
 }
 
-test("peers: both sides use the connection that one has opened", async (t) => {
+test("peer network: both sides use the connection that one has opened", async (t) => {
   const { a, first, second } = await connectNetworks(t);
-  // The first does not listen, so an answer has only that way.
+  // The first does not listen, so only the existing connection can be used.
   while (first.received.length === 0) {
     second.network.send(a, MESSAGE);
     await delay(10);
@@ -56,7 +58,7 @@
   t.pass();
 });
 
-test("peers: a connection that has gone silent is replaced", async (t) => {
+test("peer network: replaces an unresponsive connection", async (t) => {
   const sockets: Socket[] = [];
   const server = createServer((socket) => {
     sockets.push(socket);
@@ -77,9 +79,9 @@
   t.true(Date.now() - startedAt >= 1_500);
 });
 
-test("peers: a peer that has not taken a connection yet is not sent another one", async (t) => {
+test("peer network: opens no second connection to a peer that has not responded yet", async (t) => {
   let count = 0;
-  // It takes connections, but is too busy to say anything.
+  // Accepts connections, but is too busy to send anything.
   const server = createServer((socket) => {
     count += 1;
     socket.resume();
@@ -99,11 +101,14 @@
   t.is(count, 1);
 });
 
-/** Bytes of a large configuration to one peer: 0.11 s of a link of 7 Mbit/s, which
- * also carries the answers that a VM goes by and all that callers are sent. */
-const LARGE_MESSAGE = 100_000;
+/**
+ * Maximum size of a large configuration for one peer, in bytes: 0.11 s of a
+ * link of 7 Mbit/s, which also carries the other messages between VMs and all
+ * responses to callers.
+ */
+const MAXIMUM_BYTES = 100_000;
 
-test("peers: a configuration of 2,100 routes leaves a small link free", async (t) => {
+test("peer network: a configuration of 2,100 routes does not saturate a slow link", async (t) => {
   const { a, first, second } = await connectNetworks(t);
   await delay(50);
   const told = largeConfiguration(7);
@@ -123,5 +128,5 @@
       received.message.kind === "configuration.told" && received.message.told,
     told,
   );
-  t.true(bytes < LARGE_MESSAGE, `${bytes} bytes`);
+  t.true(bytes < MAXIMUM_BYTES, `${bytes} bytes`);
 });
--- a/src/runtime/raw_callers_test.ts
+++ b/src/runtime/raw_callers_test.ts
@@ -1,14 +1,16 @@
 import test, { type ExecutionContext } from "ava";
 import { connectCaller } from "../../test/support/caller_connection.ts";
 
-/** Longest time for something to happen, in milliseconds. */
-const PATIENCE = 3_000;
-/** Time in which a caller must send its headers here, in milliseconds. */
+/** Maximum time for an expected event, in milliseconds. */
+const TIMEOUT = 3_000;
+/**
+ * Time in which a caller must send its headers in these tests, in milliseconds.
+ */
 const HEADER_TIMEOUT = 300;
 
 /**
- * What a caller that sends `text` and nothing more gets: statuses of answers, the
- * paths that were taken in as requests, and whether its connection was ended.
+ * Sends `text` on a new connection; returns the statuses of the responses, the
+ * paths that were accepted as requests, and whether the connection was closed.
  */
 async function send(t: ExecutionContext, text: string) {
   const { socket, occurrences, read } = await connectCaller(t, {
@@ -23,7 +25,7 @@
   const isEnded = await Promise.race([
     closed.then(() => true),
     new Promise<boolean>((resolve) =>
-      setTimeout(() => resolve(false), PATIENCE)
+      setTimeout(() => resolve(false), TIMEOUT)
     ),
   ]);
   const paths = occurrences.flatMap((each) =>
@@ -42,27 +44,27 @@
   return `POST /a HTTP/1.1\r\nHost: h.example\r\n${headers}\r\n\r\n${body}`;
 }
 
-test("raw callers: half a request line, then silence, is let go", async (t) => {
+test("raw callers: a partial request line times out", async (t) => {
   const { paths, isEnded } = await send(t, "GET /a HT");
   t.deepEqual(paths, []);
   t.true(isEnded);
 });
 
-test("raw callers: of two pipelined requests the malformed second is none", async (t) => {
+test("raw callers: a malformed pipelined request is not accepted", async (t) => {
   const { paths } = await send(t, `${get("/1")}GE T /2\r\n\r\n`);
   t.deepEqual(paths, ["/1"]);
 });
 
-test("raw callers: a chunked body that is cut within a chunk is no request", async (t) => {
+test("raw callers: a body truncated within a chunk is not a request", async (t) => {
   const { paths, isEnded } = await send(
     t,
     post("Transfer-Encoding: chunked", "ff\r\nhalf"),
   );
   t.deepEqual(paths, []);
-  t.false(isEnded, "its time to send is not over");
+  t.false(isEnded, "its request timeout has not expired");
 });
 
-test("raw callers: two lengths that differ are refused", async (t) => {
+test("raw callers: different lengths are rejected", async (t) => {
   const { paths, statuses, isEnded } = await send(
     t,
     post("Content-Length: 2\r\nContent-Length: 30", "ok"),
@@ -71,7 +73,7 @@
   t.true(isEnded);
 });
 
-test("raw callers: a length beside chunks is refused", async (t) => {
+test("raw callers: a length together with chunks is rejected", async (t) => {
   const { paths, statuses, isEnded } = await send(
     t,
     post(
@@ -83,14 +85,14 @@
   t.true(isEnded);
 });
 
-test("raw callers: 100 KB of headers are refused", async (t) => {
+test("raw callers: 100 KB of headers are rejected", async (t) => {
   const filler = `X-Filler: ${"x".repeat(100_000)}`;
   const { paths, statuses, isEnded } = await send(t, post(filler, ""));
   t.deepEqual({ paths, statuses }, { paths: [], statuses: ["431"] });
   t.true(isEnded);
 });
 
-test("raw callers: bare line feeds smuggle nothing", async (t) => {
+test("raw callers: bare line feeds do not smuggle requests", async (t) => {
   const { paths } = await send(
     t,
     "GET /1 HTTP/1.1\nHost: h.example\nX-A: b\n\nGET /2 HTTP/1.1\n\n",
--- a/src/runtime/record_faults_test.ts
+++ b/src/runtime/record_faults_test.ts
@@ -4,7 +4,7 @@
 import { EntryMetrics } from "./entry_metrics.ts";
 import { DecodeFailureLog } from "./record_faults.ts";
 
-function createFaults() {
+function createLog() {
   const text: string[] = [];
   const output = new Writable({
     write: (chunk, _encoding, done) => {
@@ -12,43 +12,50 @@
       done();
     },
   });
-  const journal = Journal.create("vm", "info", output);
+  const logger = Journal.create("vm", "info", output);
   const metrics = EntryMetrics.create(() => ({}));
-  const faults = DecodeFailureLog.create("servers", journal, metrics);
+  const failureLog = DecodeFailureLog.create("servers", logger, metrics);
   const lines = () => {
-    journal.flush();
+    logger.flush();
     return text.splice(0).join("").split("\n").filter((line) => line !== "")
       .map((line) => {
         const { message, feed, key, reason, known } = JSON.parse(line);
         return { message, feed, key, reason, known };
       });
   };
-  const take = (faulty: string[], sound: string[] = [], isWhole = false) => {
-    const each = faulty.map((key) => ({ key, reason: `broken ${key}` }));
-    faults.update({ faults: each, sound, isWhole });
+  const update = (
+    failedKeys: string[],
+    sound: string[] = [],
+    isWhole = false,
+  ) => {
+    const failures = failedKeys.map((key) => ({
+      key,
+      reason: `broken ${key}`,
+    }));
+    failureLog.update({ faults: failures, sound, isWhole });
     return lines();
   };
-  return { take, metrics };
+  return { update, metrics };
 }
 
-test("record faults: a line when a record becomes unreadable, and one when that ends", (t) => {
-  const { take, metrics } = createFaults();
+test("decode failure log: logs when a record becomes unreadable and when it is readable again", (t) => {
+  const { update, metrics } = createLog();
   t.snapshot({
-    begins: take(["a", "b"]),
-    again: take(["a", "b"], ["c"]),
-    ends: take(["b"], ["a"]),
-    returns: take(["a"]),
-    removed: take(["a"], [], true),
+    begins: update(["a", "b"]),
+    again: update(["a", "b"], ["c"]),
+    ends: update(["b"], ["a"]),
+    returns: update(["a"]),
+    removed: update(["a"], [], true),
     metrics: metrics.render(),
   });
 });
 
-test("record faults: keys and what is remembered are bounded", (t) => {
-  const { take } = createFaults();
-  t.is(take(["k".repeat(10_000)])[0].key.length, 64);
+test("decode failure log: limits the length and number of keys", (t) => {
+  const { update } = createLog();
+  t.is(update(["k".repeat(10_000)])[0].key.length, 64);
   const many = Array.from({ length: 1_000 }, (_, i) => `i-${i}`);
-  const lines = take(many).map(({ message }) => message);
+  const lines = update(many).map(({ message }) => message);
   t.is(lines.length, 256);
   t.is(lines.at(-1), "record.unreadable_more");
-  t.deepEqual(take(many), []);
+  t.deepEqual(update(many), []);
 });
--- a/src/runtime/store_link.ts
+++ b/src/runtime/store_link.ts
@@ -18,7 +18,7 @@
 import { errorText } from "../errors/index.ts";
 import type { Journal } from "../logging/index.ts";
 import type { ControlStore, RecordsRead } from "./control_store.ts";
-import type { OccurrenceSink } from "./entry_loop.ts";
+import type { EventSink } from "./entry_loop.ts";
 import type { EntryMetrics } from "./entry_metrics.ts";
 import { DecodeFailureLog } from "./record_faults.ts";
 
@@ -27,7 +27,7 @@
   private constructor(
     private readonly store: ControlStore,
     private readonly timeToLive: number,
-    private readonly sink: OccurrenceSink,
+    private readonly sink: EventSink,
     private readonly registryFailures: DecodeFailureLog,
     private readonly recordFailures: DecodeFailureLog,
   ) {}
@@ -39,7 +39,7 @@
   static create(
     store: ControlStore,
     timeToLive: number,
-    sink: OccurrenceSink,
+    sink: EventSink,
     logger: Journal,
     metrics: EntryMetrics,
   ): StoreLink {
