--- a/src/runtime/feed_follower.ts
+++ b/src/runtime/feed_follower.ts
@@ -10,7 +10,7 @@
 import type { ControlStore, Feed, StoreRead } from "./control_store.ts";
 import type { EventSink } from "./entry_loop.ts";
 import type { EntryMetrics } from "./entry_metrics.ts";
-import { DecodeFailureLog } from "./record_faults.ts";
+import { RecordFaultLog } from "./record_faults.ts";
 
 /** Delay after a failed read, in milliseconds. */
 const RETRY_DELAY = 250;
@@ -62,7 +62,7 @@
     private readonly feed: Feed,
     private readonly timing: FeedTiming,
     private readonly sink: EventSink,
-    private readonly failureLog: DecodeFailureLog,
+    private readonly faultLog: RecordFaultLog,
   ) {}
 
   /** Starts to follow `feed`. */
@@ -74,8 +74,8 @@
     logger: Journal,
     metrics: EntryMetrics,
   ): FeedFollower {
-    const failureLog = DecodeFailureLog.create(feed, logger, metrics);
-    const follower = new FeedFollower(store, feed, timing, sink, failureLog);
+    const faultLog = RecordFaultLog.create(feed, logger, metrics);
+    const follower = new FeedFollower(store, feed, timing, sink, faultLog);
     void follower.#follow();
     return follower;
   }
@@ -178,7 +178,7 @@
 
   #applyRead(read: StoreRead, sentAt: number): void {
     this.sink.push({ kind: "store.answered", sentAt });
-    this.failureLog.update(read);
+    this.faultLog.update(read);
     for (const event of read.occurrences) this.sink.push(event);
   }
 }
--- a/src/runtime/http_client_test.ts
+++ b/src/runtime/http_client_test.ts
@@ -1,9 +1,18 @@
 import { createServer, type Server } from "node:http";
 import type { AddressInfo } from "node:net";
 import test, { type ExecutionContext } from "ava";
-import { HttpClient } from "./http_client.ts";
+import {
+  type HttpCall,
+  HttpClient,
+  type HttpClientOptions,
+  type Transfer,
+} from "./http_client.ts";
 
-const OPTIONS = { connectTimeout: 300, connections: 4, idleTimeout: 4_000 };
+const OPTIONS: HttpClientOptions = {
+  connectTimeout: 300,
+  connections: 4,
+  idleTimeout: 4_000,
+};
 const CALL = { method: "GET", path: "/", timeout: 150 } as const;
 
 /**
@@ -168,11 +177,14 @@
 
 test("http client: accepts a slow response, and rejects one that stalls", async (t) => {
   const client = createClient(t);
-  const transfer = { stall: 250, longest: 5_000 };
+  const transfer: Transfer = { stall: 250, longest: 5_000 };
   const whole = await startSlowServer(t, true);
-  const call = { ...CALL, timeout: 250, transfer };
+  const call: HttpCall = { ...CALL, timeout: 250, transfer };
   t.is((await client.send(whole, call)).body.length, 8);
-  const bounded = { ...call, transfer: { ...transfer, longest: 300 } };
+  const bounded: HttpCall = {
+    ...call,
+    transfer: { ...transfer, longest: 300 },
+  };
   const stalling = await startSlowServer(t, false);
   for (
     const calls of [client.send(whole, bounded), client.send(stalling, call)]
--- a/src/runtime/record_faults.ts
+++ b/src/runtime/record_faults.ts
@@ -1,9 +1,8 @@
 /**
- * Logs records that cannot be decoded: one line when a failure first occurs and
- * one when it is resolved, instead of one at each read. Every failure is
- * counted. It covers the reads of this VM only: while the VM receives store
- * updates from the term holder instead, a failure is resolved at its next own
- * read.
+ * Logs records that cannot be decoded: one line when a fault first occurs and
+ * one when it is resolved, instead of one at each read. Every fault is counted.
+ * The log covers the reads of this VM only: while the VM receives store updates
+ * from the term holder instead, a fault is resolved at the VM's next own read.
  *
  * @module
  */
@@ -13,15 +12,15 @@
 
 /**
  * Maximum number of remembered keys; bounds memory whatever is written. Further
- * failures are counted, and a single line reports them.
+ * faults are counted, and a single line reports them.
  */
 const MAXIMUM_KEYS = 256;
 /** Maximum length of a key in the log, in characters. */
 const MAXIMUM_KEY_LENGTH = 64;
 
 /** See the module's comment. */
-export class DecodeFailureLog {
-  readonly #failedKeys = new Set<string>();
+export class RecordFaultLog {
+  readonly #faultyKeys = new Set<string>();
   #isFull = false;
 
   private constructor(
@@ -30,32 +29,32 @@
     private readonly metrics: EntryMetrics,
   ) {}
 
-  /** Creates a log for the records of `feed`, without any failure. */
+  /** Creates a log for the records of `feed`, without any fault. */
   static create(
     feed: string,
     logger: Journal,
     metrics: EntryMetrics,
-  ): DecodeFailureLog {
-    return new DecodeFailureLog(feed, logger, metrics);
+  ): RecordFaultLog {
+    return new RecordFaultLog(feed, logger, metrics);
   }
 
   /** Logs the changes since the previous read. */
   update({ faults, sound, isWhole }: DecodedRead): void {
-    const resolvedKeys = isWhole ? [...this.#failedKeys] : sound;
-    const failedKeys = new Set(faults.map(({ key }) => key));
+    const resolvedKeys = isWhole ? [...this.#faultyKeys] : sound;
+    const faultyKeys = new Set(faults.map(({ key }) => key));
     for (const key of resolvedKeys) {
-      if (!failedKeys.has(key)) this.#removeFailure(key);
+      if (!faultyKeys.has(key)) this.#removeFault(key);
     }
     for (const { key, reason } of faults) {
       this.metrics.count("records_unreadable_total", `feed="${this.feed}"`);
-      this.#addFailure(key, reason);
+      this.#addFault(key, reason);
     }
   }
 
-  #addFailure(key: string, reason: string): void {
-    if (this.#failedKeys.has(key)) return;
-    if (this.#failedKeys.size < MAXIMUM_KEYS) {
-      this.#failedKeys.add(key);
+  #addFault(key: string, reason: string): void {
+    if (this.#faultyKeys.has(key)) return;
+    if (this.#faultyKeys.size < MAXIMUM_KEYS) {
+      this.#faultyKeys.add(key);
       return this.#write("record.unreadable", { key: truncated(key), reason });
     }
     if (this.#isFull) return;
@@ -63,8 +62,8 @@
     this.#write("record.unreadable_more", { known: MAXIMUM_KEYS });
   }
 
-  #removeFailure(key: string): void {
-    if (!this.#failedKeys.delete(key)) return;
+  #removeFault(key: string): void {
+    if (!this.#faultyKeys.delete(key)) return;
     this.#isFull = false;
     this.#write("record.readable_again", { key: truncated(key) });
   }
--- a/src/runtime/record_faults_test.ts
+++ b/src/runtime/record_faults_test.ts
@@ -2,9 +2,9 @@
 import test from "ava";
 import { Journal } from "../logging/index.ts";
 import { EntryMetrics } from "./entry_metrics.ts";
-import { DecodeFailureLog } from "./record_faults.ts";
+import { RecordFaultLog } from "./record_faults.ts";
 
-function createLog() {
+function createFaultLog() {
   const text: string[] = [];
   const output = new Writable({
     write: (chunk, _encoding, done) => {
@@ -14,7 +14,7 @@
   });
   const logger = Journal.create("vm", "info", output);
   const metrics = EntryMetrics.create(() => ({}));
-  const failureLog = DecodeFailureLog.create("servers", logger, metrics);
+  const faultLog = RecordFaultLog.create("servers", logger, metrics);
   const lines = () => {
     logger.flush();
     return text.splice(0).join("").split("\n").filter((line) => line !== "")
@@ -24,22 +24,22 @@
       });
   };
   const update = (
-    failedKeys: string[],
+    faultyKeys: string[],
     sound: string[] = [],
     isWhole = false,
   ) => {
-    const failures = failedKeys.map((key) => ({
+    const faults = faultyKeys.map((key) => ({
       key,
       reason: `broken ${key}`,
     }));
-    failureLog.update({ faults: failures, sound, isWhole });
+    faultLog.update({ faults, sound, isWhole });
     return lines();
   };
   return { update, metrics };
 }
 
-test("decode failure log: logs when a record becomes unreadable and when it is readable again", (t) => {
-  const { update, metrics } = createLog();
+test("record fault log: logs when a record becomes unreadable and when it is readable again", (t) => {
+  const { update, metrics } = createFaultLog();
   t.snapshot({
     begins: update(["a", "b"]),
     again: update(["a", "b"], ["c"]),
@@ -50,8 +50,8 @@
   });
 });
 
-test("decode failure log: limits the length and number of keys", (t) => {
-  const { update } = createLog();
+test("record fault log: limits the length and number of keys", (t) => {
+  const { update } = createFaultLog();
   t.is(update(["k".repeat(10_000)])[0].key.length, 64);
   const many = Array.from({ length: 1_000 }, (_, i) => `i-${i}`);
   const lines = update(many).map(({ message }) => message);
--- a/src/runtime/store_link.ts
+++ b/src/runtime/store_link.ts
@@ -20,7 +20,7 @@
 import type { ControlStore, RecordsRead } from "./control_store.ts";
 import type { EventSink } from "./entry_loop.ts";
 import type { EntryMetrics } from "./entry_metrics.ts";
-import { DecodeFailureLog } from "./record_faults.ts";
+import { RecordFaultLog } from "./record_faults.ts";
 
 /** See the module's comment. */
 export class StoreLink {
@@ -28,8 +28,8 @@
     private readonly store: ControlStore,
     private readonly timeToLive: number,
     private readonly sink: EventSink,
-    private readonly registryFailures: DecodeFailureLog,
-    private readonly recordFailures: DecodeFailureLog,
+    private readonly registryFaultLog: RecordFaultLog,
+    private readonly recordFaultLog: RecordFaultLog,
   ) {}
 
   /**
@@ -47,8 +47,8 @@
       store,
       timeToLive,
       sink,
-      DecodeFailureLog.create("servers", logger, metrics),
-      DecodeFailureLog.create("ownership", logger, metrics),
+      RecordFaultLog.create("servers", logger, metrics),
+      RecordFaultLog.create("ownership", logger, metrics),
     );
   }
 
@@ -138,7 +138,7 @@
     const sentAt = monotonicNow();
     try {
       const read = await this.store.readServers(from);
-      this.registryFailures.update(read);
+      this.registryFaultLog.update(read);
       this.sink.push({ kind: "store.answered", sentAt });
       this.sink.push({ kind: "servers.read", read, sentAt });
     } catch (error) {
@@ -169,7 +169,7 @@
 
   async #readRecords(): Promise<RecordsRead> {
     const read = await this.store.readRecords();
-    this.recordFailures.update(read);
+    this.recordFaultLog.update(read);
     return read;
   }
 
