--- a/src/runtime/backend_pool.ts
+++ b/src/runtime/backend_pool.ts
@@ -23,7 +23,7 @@
 import type { EventSink } from "./entry_loop.ts";
 import { limitConnectTime } from "./http_client.ts";
 
-/** Connect timeout, in milliseconds. Hosts that are down send no reset. */
+/** Connect timeout, in milliseconds. Hosts that are down do not respond. */
 const CONNECT_TIMEOUT = 300;
 /**
  * Maximum time for which an idle connection is kept, in milliseconds. A shorter
--- a/src/runtime/caller_server.ts
+++ b/src/runtime/caller_server.ts
@@ -232,8 +232,8 @@
   }
 
   /** Forwards a server's response. */
-  deliver(exchange: number, answer: BackendResponse): void {
-    const { status, statusText, headers, body } = answer;
+  deliver(exchange: number, response: BackendResponse): void {
+    const { status, statusText, headers, body } = response;
     this.#respond(exchange, status, statusText, headers, body, false);
   }
 
--- a/src/runtime/monotonic_clock.ts
+++ b/src/runtime/monotonic_clock.ts
@@ -1,6 +1,6 @@
 /**
  * The clock of the process, in milliseconds. It includes time for which the
- * machine was suspended, since terms, leases and deadlines continue to run
+ * machine was suspended, since terms, hold times and deadlines continue to run
  * then.
  *
  * @module
--- a/src/runtime/request_body.ts
+++ b/src/runtime/request_body.ts
@@ -22,16 +22,16 @@
 export function readBody(
   request: IncomingMessage,
   maximumBytes: () => number,
-  outcome: BodyHandler,
+  handler: BodyHandler,
 ): void {
   const chunks: Buffer[] = [];
   let size = 0;
   request.on("data", (chunk: Buffer) => {
     size += chunk.length;
-    if (size > maximumBytes()) return outcome.onTooLarge();
+    if (size > maximumBytes()) return handler.onTooLarge();
     chunks.push(chunk);
   });
-  request.once("end", () => outcome.onComplete(Buffer.concat(chunks)));
+  request.once("end", () => handler.onComplete(Buffer.concat(chunks)));
   // A truncated body closes the response, which reports that the caller has
   // disconnected.
   request.on("error", () => {});
