--- a/src/runtime/record_faults.ts
+++ b/src/runtime/record_faults.ts
@@ -1,8 +1,8 @@
 /**
- * Tells of records that cannot be decoded: a line when one is first met and one
- * when it is gone, not one at each read, and a count of all. It goes by the reads
- * of this VM; one that is told by the term holder ends its line when it reads
- * again itself.
+ * Logs records that cannot be decoded: one line when a fault first occurs and
+ * one when it is resolved, instead of one at each read. Every fault is counted.
+ * The log covers the reads of this VM only: while the VM receives store updates
+ * from the term holder instead, a fault is resolved at the VM's next own read.
  *
  * @module
  */
@@ -10,67 +10,69 @@
 import type { DecodedRead } from "./control_store.ts";
 import type { EntryMetrics } from "./entry_metrics.ts";
 
-/** Keys that are remembered; bounds memory, whatever is written. Faults beyond
- * are counted, and one line says so. */
+/**
+ * Maximum number of remembered keys; bounds memory whatever is written. Further
+ * faults are counted, and a single line reports them.
+ */
 const MAXIMUM_KEYS = 256;
-/** Characters of a key that are logged. */
-const KEY_LENGTH = 64;
+/** Maximum length of a key in the log, in characters. */
+const MAXIMUM_KEY_LENGTH = 64;
 
 /** See the module's comment. */
-export class RecordFaults {
-  readonly #keys = new Set<string>();
+export class RecordFaultLog {
+  readonly #faultyKeys = new Set<string>();
   #isFull = false;
 
   private constructor(
     private readonly feed: string,
-    private readonly journal: Journal,
+    private readonly logger: Journal,
     private readonly metrics: EntryMetrics,
   ) {}
 
-  /** The faults among the records of `feed`; none is known yet. */
+  /** Creates a log for the records of `feed`, without any fault. */
   static create(
     feed: string,
-    journal: Journal,
+    logger: Journal,
     metrics: EntryMetrics,
-  ): RecordFaults {
-    return new RecordFaults(feed, journal, metrics);
+  ): RecordFaultLog {
+    return new RecordFaultLog(feed, logger, metrics);
   }
 
-  /** Takes what a read said of its records. */
-  take({ faults, sound, isWhole }: DecodedRead): void {
-    const gone = isWhole ? [...this.#keys] : sound;
-    const faulty = new Set(faults.map(({ key }) => key));
-    for (const key of gone) {
-      if (!faulty.has(key)) this.#end(key);
+  /** Logs the changes since the previous read. */
+  update({ faults, sound, isWhole }: DecodedRead): void {
+    const resolvedKeys = isWhole ? [...this.#faultyKeys] : sound;
+    const faultyKeys = new Set(faults.map(({ key }) => key));
+    for (const key of resolvedKeys) {
+      if (!faultyKeys.has(key)) this.#removeFault(key);
     }
     for (const { key, reason } of faults) {
       this.metrics.count("records_unreadable_total", `feed="${this.feed}"`);
-      this.#begin(key, reason);
+      this.#addFault(key, reason);
     }
   }
 
-  #begin(key: string, reason: string): void {
-    if (this.#keys.has(key)) return;
-    if (this.#keys.size < MAXIMUM_KEYS) {
-      this.#keys.add(key);
-      return this.#write("record.unreadable", { key: shown(key), reason });
+  #addFault(key: string, reason: string): void {
+    if (this.#faultyKeys.has(key)) return;
+    if (this.#faultyKeys.size < MAXIMUM_KEYS) {
+      this.#faultyKeys.add(key);
+      return this.#write("record.unreadable", { key: truncated(key), reason });
     }
     if (this.#isFull) return;
     this.#isFull = true;
     this.#write("record.unreadable_more", { known: MAXIMUM_KEYS });
   }
 
-  #end(key: string): void {
-    if (!this.#keys.delete(key)) return;
+  #removeFault(key: string): void {
+    if (!this.#faultyKeys.delete(key)) return;
     this.#isFull = false;
-    this.#write("record.readable_again", { key: shown(key) });
+    this.#write("record.readable_again", { key: truncated(key) });
   }
 
   #write(message: string, fields: Record<string, string | number>): void {
-    this.journal.write("warn", message, { feed: this.feed, ...fields });
+    this.logger.write("warn", message, { feed: this.feed, ...fields });
   }
 }
 
-function shown(key: string): string {
-  return key.slice(0, KEY_LENGTH);
+function truncated(key: string): string {
+  return key.slice(0, MAXIMUM_KEY_LENGTH);
 }
