--- a/test/ending_request_test.ts
+++ b/test/ending_request_test.ts
@@ -12,8 +12,8 @@
 import { findStory } from "../src/logging/index.ts";
 import { type Call, isServed, type Run, runLoad } from "../src/load/index.ts";
 import {
+  crashingPath,
   Deployment,
-  endingPath,
   HOST,
   type Member,
 } from "./support/deployment.ts";
@@ -83,7 +83,7 @@
     const { address } = entries[count % entries.length];
     const id = `ends-${randomUUID()}`;
     const key = service === "stock" ? 9_000 : null;
-    const sent = request(`http://${address}${endingPath(service)}`, {
+    const sent = request(`http://${address}${crashingPath(service)}`, {
       method: "POST",
       headers: {
         host: HOST,
@@ -135,7 +135,7 @@
     const status = await deployment.status(entry);
     t.is(status?.quarantine.length, 1);
     const text = formatStatus(status!);
-    t.regex(text, new RegExp(`held back: .*${endingPath(service)}`));
+    t.regex(text, new RegExp(`held back: .*${crashingPath(service)}`));
     const lines = deployment.logOf(entry);
     const refused = lines.find(({ message }) =>
       message === "request.held_back"
--- a/test/large_configuration_test.ts
+++ b/test/large_configuration_test.ts
@@ -22,7 +22,7 @@
   LARGE_ROUTE_COUNT,
   largeConfiguration,
 } from "./support/large_configuration.ts";
-import { openSmallLink } from "./support/small_link.ts";
+import { openThrottledLink } from "./support/throttled_link.ts";
 
 /** Half of a link of 7 Mbit/s, in bytes a second. */
 const LINK = 400_000;
@@ -41,7 +41,7 @@
   );
   t.teardown(() => operator.close());
   await operator.publish(largeConfiguration(7), 0);
-  const store = await openSmallLink(t, service.address, LINK);
+  const store = await openThrottledLink(t, service.address, LINK);
   const { entry } = await startEntryInProcess(t, 2, store);
   const end = performance.now() + PATIENCE;
   while (!entry.status().isReady && performance.now() < end) await delay(50);
--- a/test/path_test.ts
+++ b/test/path_test.ts
@@ -102,7 +102,7 @@
   t.true(unserved.every(({ outcome }) => outcome === "not-run"));
   await deployment.setFaults(deployment.store, { outage: false });
   deployment.entries.push(deployment.startEntry("entry-3"));
-  await deployment.until((status) =>
+  await deployment.waitUntil((status) =>
     status.isReady && status.vms === 3 &&
     status.assignments.some(({ ranges, open }) => ranges === open)
   );
@@ -115,7 +115,7 @@
   await deployment.setFaults(deployment.store, { outage: true });
   const late = deployment.startEntry("entry-3");
   deployment.entries.push(late);
-  await deployment.until((status) => status.isReady);
+  await deployment.waitUntil((status) => status.isReady);
   const [lookups, orders] = plans(deployment, { requests: 100, callers: 2 });
   for (const plan of [lookups, orders]) {
     const { calls } = await runLoad({ ...plan, targets: [late.address] });
--- a/test/soak/loopback_proxy.ts
+++ b/test/soak/loopback_proxy.ts
@@ -1,5 +1,5 @@
 /**
- * A TCP proxy on the loopback network that harms what goes through it.
+ * A TCP proxy on the loopback network that injects network faults.
  *
  * @module
  */
@@ -7,22 +7,22 @@
 import { parseAddress } from "../../src/settings/index.ts";
 import { loopbackAddress } from "../support/loopback_address.ts";
 
-/** What a proxy does to connections, also to those that are open. */
+/** Behavior of a proxy; it also applies to open connections. */
 export type ProxyMode =
   | "pass"
-  /** Bytes are held back both ways until it passes again. */
+  /** Buffers the bytes of both directions until the mode changes. */
   | "silence"
-  /** Bytes of answers are held back. */
+  /** Buffers the bytes of responses until the mode changes. */
   | "one_way"
-  /** Bytes come later. */
+  /** Delays the bytes of both directions. */
   | "delay"
-  /** Connections are reset, open and new ones. */
+  /** Resets open and new connections. */
   | "reset";
 
-/** Delay of the mode of that name, in milliseconds. */
+/** Delay of the mode `delay`, in milliseconds. */
 const DELAY = 150;
 
-/** See the module's comment. */
+/** A proxy in front of one address. */
 export class LoopbackProxy {
   readonly address = loopbackAddress();
   readonly #server: Server;
@@ -35,13 +35,13 @@
     this.#server.listen(port, host);
   }
 
-  /** A proxy in front of `target`. */
+  /** Starts a proxy in front of `target`. */
   static create(target: string): LoopbackProxy {
     return new LoopbackProxy(target);
   }
 
-  /** Changes what happens to connections. */
-  set(mode: ProxyMode): void {
+  /** Changes the mode for open and new connections. */
+  setMode(mode: ProxyMode): void {
     this.#mode = mode;
     for (const pipe of this.#pipes) {
       if (mode === "reset") pipe.reset();
@@ -49,47 +49,47 @@
     }
   }
 
-  /** Ends everything. */
+  /** Stops the proxy and resets its connections. */
   close(): void {
     this.#server.close();
     for (const pipe of this.#pipes) pipe.reset();
   }
 
-  #connect(near: Socket, target: string): void {
+  #connect(client: Socket, target: string): void {
     if (this.#mode === "reset") {
-      near.on("error", () => {});
-      near.resetAndDestroy();
+      client.on("error", () => {});
+      client.resetAndDestroy();
       return;
     }
-    const far = new Socket();
-    far.connect(parseAddress(target));
-    const request = new Pipe(near, far, () => this.#mode === "silence");
-    const answer = new Pipe(
-      far,
-      near,
+    const upstream = new Socket();
+    upstream.connect(parseAddress(target));
+    const request = new Pipe(client, upstream, () => this.#mode === "silence");
+    const response = new Pipe(
+      upstream,
+      client,
       () => this.#mode === "silence" || this.#mode === "one_way",
     );
-    for (const pipe of [request, answer]) {
+    for (const pipe of [request, response]) {
       this.#pipes.add(pipe);
       pipe.delay = () => this.#mode === "delay" ? DELAY : 0;
-      far.once("close", () => this.#pipes.delete(pipe));
+      upstream.once("close", () => this.#pipes.delete(pipe));
     }
   }
 }
 
-/** One direction of a connection. */
+/** One direction of a proxied connection. */
 class Pipe {
   delay: () => number = () => 0;
-  #held: Buffer[] = [];
+  #buffered: Buffer[] = [];
   #hasEnded = false;
 
   constructor(
     private readonly from: Socket,
     private readonly to: Socket,
-    private readonly isHeld: () => boolean,
+    private readonly isBlocked: () => boolean,
   ) {
     from.on("data", (bytes: Buffer) => {
-      this.#held.push(bytes);
+      this.#buffered.push(bytes);
       setTimeout(() => this.flush(), this.delay());
     });
     from.on("end", () => {
@@ -100,15 +100,15 @@
     from.on("close", () => this.flush());
   }
 
-  /** Passes on what is held back, unless it still has to be. */
+  /** Forwards the buffered bytes unless the direction is blocked. */
   flush(): void {
-    if (this.isHeld() || this.to.destroyed) return;
-    for (const bytes of this.#held) this.to.write(bytes);
-    this.#held = [];
+    if (this.isBlocked() || this.to.destroyed) return;
+    for (const bytes of this.#buffered) this.to.write(bytes);
+    this.#buffered = [];
     if (this.#hasEnded) this.to.end();
   }
 
-  /** Resets both sides. */
+  /** Resets the connections on both sides. */
   reset(): void {
     for (const socket of [this.from, this.to]) {
       if (!socket.destroyed) socket.resetAndDestroy();
--- a/test/soak/soak.ts
+++ b/test/soak/soak.ts
@@ -1,19 +1,20 @@
 /**
- * The fault soak: `npm run soak -- --seed N --seeds COUNT --minutes M`. Plays
- * seeds one after the other until either is used up; prints one line for each,
- * with what it broke and where its logs are. `--weaken second_try` or `no_wait`
- * plays a weak copy of the program, which must be found out. `--extended` adds
- * requests that end their servers, and machines that are suspended.
+ * Runs the soak test with injected faults:
+ * `npm run soak -- --seed N --seeds COUNT --minutes M`. Runs one seed after the other
+ * until COUNT seeds have run or M minutes have passed. Prints one line per seed, with
+ * the broken guarantees and the folder of the logs. `--weaken second_try` and
+ * `--weaken no_wait` run a mutation of the program, which the checks must detect.
+ * `--extended` adds requests that crash their servers, and suspended machines.
  *
  * @module
  */
 import { parseArgs } from "node:util";
-import { type Weakness, WEAKNESSES } from "../support/bundled_program.ts";
-import { extendedPlanOf, planOf } from "./soak_plan.ts";
+import { type MutationName, MUTATIONS } from "../support/bundled_program.ts";
+import { createExtendedPlan, createPlan } from "./soak_plan.ts";
 import { SoakRun } from "./soak_run.ts";
 
-/** Time under load of one seed, in milliseconds. */
-const LENGTH = 15_000;
+/** Duration of the load of one seed, in milliseconds. */
+const LOAD_DURATION = 15_000;
 const MINUTE = 60_000;
 
 const { values } = parseArgs({
@@ -26,22 +27,25 @@
   },
 });
 
-function weaknessNamed(name: string | undefined): Weakness | null {
+function parseMutation(name: string | undefined): MutationName | null {
   if (name === undefined) return null;
-  if (name in WEAKNESSES) return name as Weakness;
-  const names = Object.keys(WEAKNESSES).join(", ");
+  if (name in MUTATIONS) return name as MutationName;
+  const names = Object.keys(MUTATIONS).join(", ");
   throw new RangeError(`--weaken: expected one of ${names}, found: ${name}`);
 }
 
 async function soak(): Promise<void> {
-  const weakness = weaknessNamed(values.weaken);
-  const plan = values.extended ? extendedPlanOf : planOf;
+  const mutation = parseMutation(values.weaken);
+  const createSeedPlan = values.extended ? createExtendedPlan : createPlan;
   const first = Number(values.seed);
   const end = Date.now() + Number(values.minutes) * MINUTE;
   let broken = 0;
   let seed = first;
   while (seed < first + Number(values.seeds) && Date.now() < end) {
-    const report = await SoakRun.play(plan(seed, LENGTH), weakness);
+    const report = await SoakRun.execute(
+      createSeedPlan(seed, LOAD_DURATION),
+      mutation,
+    );
     if (report.breaches.length > 0) broken += 1;
     console.log(JSON.stringify(report));
     seed += 1;
--- a/test/soak/soak_plan.ts
+++ b/test/soak/soak_plan.ts
@@ -1,21 +1,21 @@
 /**
- * What goes wrong in a run of the soak, and when: all of it follows from the
+ * Determines the faults of a soak run and their times. A plan depends only on its
  * seed.
  *
  * @module
  */
 import { uniformFloat64 } from "../../src/core/random.ts";
 
-/** Things that operators do; callers and servers must not notice. */
-export const PLANNED = [
+/** Operations of operators, which must not affect callers and servers. */
+export const PLANNED_OPERATIONS = [
   "entry.stop",
   "entry.reload",
   "server.drain",
   "configuration.publish",
 ] as const;
 
-/** Things that break. */
-export const UNPLANNED = [
+/** Failures of processes, of the store and of network links. */
+export const UNPLANNED_FAULTS = [
   "entry.kill",
   "entry.pause",
   "server.kill",
@@ -36,92 +36,103 @@
   "server_link.delay",
 ] as const;
 
-/** Things that break in extended plans, on top of what the seed brings anyway. */
-export const EXTENDED = [
-  /** A caller goes on sending a request that ends each server that runs it. */
+/** Failures that extended plans add to the plan of a seed. */
+export const EXTENDED_FAULTS = [
+  /** A caller repeatedly sends a request that crashes each server that runs it. */
   "request.ending",
-  /** The machine of an entry is suspended, with its steady clock. */
+  /** The machine of an entry is suspended, so its monotonic clock stops. */
   "entry.suspend",
 ] as const;
 
-/** See the lists above. */
+/** A planned operation or a failure. */
 export type FaultKind =
-  | typeof PLANNED[number]
-  | typeof UNPLANNED[number]
-  | typeof EXTENDED[number];
+  | typeof PLANNED_OPERATIONS[number]
+  | typeof UNPLANNED_FAULTS[number]
+  | typeof EXTENDED_FAULTS[number];
 
-/** Something that begins `at` milliseconds after the start of the load. */
+/** A fault that begins `at` milliseconds after the start of the load. */
 export interface SoakFault {
   kind: FaultKind;
   at: number;
-  /** For how long, where it lasts. */
+  /** Duration in milliseconds, for faults that last. */
   duration: number;
-  /** Which process or link, taken modulo their number. */
+  /** Index of the process or link, modulo their number. */
   target: number;
 }
 
-/** A whole run. */
+/** A plan of one soak run. */
 export interface SoakPlan {
   seed: number;
   entries: number;
   servers: number;
-  /** Time under load, in milliseconds. */
-  length: number;
-  /** Whether nothing unplanned happens, so that no request may be lost. */
+  /** Duration of the load, in milliseconds. */
+  loadDuration: number;
+  /** Whether there are planned operations only, so that no request may be lost. */
   isPlannedOnly: boolean;
   faults: SoakFault[];
 }
 
-/** One plan in so many has planned work only. */
-const PLANNED_SHARE = 4;
-/** Faults begin this long after the start and before the end at the latest. */
-const FIRST_FAULT = 800;
-const LAST_FAULT = 2_000;
-/** Mean time between two faults, in milliseconds: they overlap. */
-const MEAN_PAUSE = 900;
-const SHORTEST = 200;
-const LONGEST = 5_000;
+/** Every plan whose seed is a multiple of this has planned operations only. */
+const PLANNED_ONLY_INTERVAL = 4;
+/** Time before the first fault and after the start of the last one, in milliseconds. */
+const START_MARGIN = 800;
+const END_MARGIN = 2_000;
+/** Mean time between two faults, in milliseconds. It lets faults overlap. */
+const MEAN_INTERVAL = 900;
+/** Range of the duration of a fault, in milliseconds. */
+const MINIMUM_DURATION = 200;
+const MAXIMUM_DURATION = 5_000;
 
-/** Mean time between two faults that an extended plan adds, in milliseconds. */
-const EXTENDED_PAUSE = 2_500;
-/** Tells the numbers that these are drawn by from those of the rest. */
-const EXTENDED_SALT = 0x5eed;
+/** Mean time between two faults that extended plans add, in milliseconds. */
+const EXTENDED_MEAN_INTERVAL = 2_500;
+/** Mask of the seed for added faults, so that their random numbers are independent. */
+const EXTENDED_SEED_MASK = 0x5eed;
 
-/** The plan of a seed with faults of the extended kinds besides. */
-export function extendedPlanOf(seed: number, length: number): SoakPlan {
-  const plan = planOf(seed, length);
-  const draw = uniformFloat64(seed ^ EXTENDED_SALT);
+/** Creates the plan of a seed with additional {@linkcode EXTENDED_FAULTS}. */
+export function createExtendedPlan(
+  seed: number,
+  loadDuration: number,
+): SoakPlan {
+  const plan = createPlan(seed, loadDuration);
+  const random = uniformFloat64(seed ^ EXTENDED_SEED_MASK);
   const added: SoakFault[] = [];
-  let at = FIRST_FAULT;
-  while (at < length - LAST_FAULT) {
-    const kind = EXTENDED[Math.floor(draw() * EXTENDED.length)];
-    const duration = SHORTEST + draw() * (LONGEST - SHORTEST);
-    added.push({ kind, at, duration, target: Math.floor(draw() * 16) });
-    at += -Math.log(1 - draw()) * EXTENDED_PAUSE;
+  let at = START_MARGIN;
+  while (at < loadDuration - END_MARGIN) {
+    const kind = EXTENDED_FAULTS[Math.floor(random() * EXTENDED_FAULTS.length)];
+    const duration = MINIMUM_DURATION +
+      random() * (MAXIMUM_DURATION - MINIMUM_DURATION);
+    added.push({ kind, at, duration, target: Math.floor(random() * 16) });
+    at += -Math.log(1 - random()) * EXTENDED_MEAN_INTERVAL;
   }
   const faults = [...plan.faults, ...added];
   return { ...plan, isPlannedOnly: false, faults };
 }
 
-/** The plan of a seed, for a load of `length` milliseconds. */
-export function planOf(seed: number, length: number): SoakPlan {
-  const draw = uniformFloat64(seed);
-  const pick = (count: number) => Math.floor(draw() * count);
-  const isPlannedOnly = seed % PLANNED_SHARE === 0;
+/** Creates the plan of a seed, for a load of `loadDuration` milliseconds. */
+export function createPlan(seed: number, loadDuration: number): SoakPlan {
+  const random = uniformFloat64(seed);
+  const randomIndex = (count: number) => Math.floor(random() * count);
+  const isPlannedOnly = seed % PLANNED_ONLY_INTERVAL === 0;
   const kinds: readonly FaultKind[] = isPlannedOnly
-    ? PLANNED
-    : [...PLANNED, ...UNPLANNED];
+    ? PLANNED_OPERATIONS
+    : [...PLANNED_OPERATIONS, ...UNPLANNED_FAULTS];
   const faults: SoakFault[] = [];
-  let at = FIRST_FAULT;
-  while (at < length - LAST_FAULT) {
-    const kind = kinds[pick(kinds.length)];
-    const duration = SHORTEST + draw() ** 2 * (LONGEST - SHORTEST);
-    const series = draw() < 0.25 ? 3 : 1;
-    for (let i = 0; i < series; i++) {
-      faults.push({ kind, at: at + 300 * i, duration, target: pick(16) });
+  let at = START_MARGIN;
+  while (at < loadDuration - END_MARGIN) {
+    const kind = kinds[randomIndex(kinds.length)];
+    const duration = MINIMUM_DURATION +
+      random() ** 2 * (MAXIMUM_DURATION - MINIMUM_DURATION);
+    const repetitions = random() < 0.25 ? 3 : 1;
+    for (let i = 0; i < repetitions; i++) {
+      faults.push({
+        kind,
+        at: at + 300 * i,
+        duration,
+        target: randomIndex(16),
+      });
     }
-    at += -Math.log(1 - draw()) * MEAN_PAUSE;
+    at += -Math.log(1 - random()) * MEAN_INTERVAL;
   }
-  const [entries, servers] = [2 + pick(3), 2 + pick(3)];
-  return { seed, entries, servers, length, isPlannedOnly, faults };
+  const [entries, servers] = [2 + randomIndex(3), 2 + randomIndex(3)];
+  return { seed, entries, servers, loadDuration, isPlannedOnly, faults };
 }
--- a/test/soak/soak_run.ts
+++ b/test/soak/soak_run.ts
@@ -1,6 +1,6 @@
 /**
- * Plays one plan of the soak against the real programs as separate processes,
- * and checks what callers and servers saw.
+ * Executes a soak plan on a system of separate processes, and checks the history that
+ * callers and servers recorded.
  *
  * @module
  */
@@ -15,104 +15,110 @@
   type Run,
   runLoad,
 } from "../../src/load/index.ts";
-import type { Weakness } from "../support/bundled_program.ts";
+import type { MutationName } from "../support/bundled_program.ts";
 import {
+  crashingPath,
   Deployment,
-  endingPath,
   HOST,
   type Member,
 } from "../support/deployment.ts";
 import { LoopbackProxy } from "./loopback_proxy.ts";
 import type { SoakFault, SoakPlan } from "./soak_plan.ts";
 
-/** Time after the faults in which the system must have recovered, in ms. */
-const RECOVERY = 14_000;
-/** Pause between two readiness checks of a VM; two without a 200 take it out. */
+/** Maximum time until the system recovers after the faults, in milliseconds. */
+const RECOVERY_TIMEOUT = 14_000;
+/**
+ * Interval between two readiness checks of a VM, in milliseconds. A VM gets no requests
+ * after two checks without status 200.
+ */
 const CHECK_INTERVAL = 300;
-/** Calls of the load that must be served once all faults are over. */
+/** Number of calls after all faults, and minimum share of them that must be served. */
 const FINAL_CALLS = 100;
 const FINAL_SHARE = 0.95;
-/** Time between the word that a server leaves and its end, in milliseconds. */
-const DRAIN_TIME = 2_600;
+/** Time between the start of draining and the end of a server, in milliseconds. */
+const DRAIN_DURATION = 2_600;
 
-/** Looks at all entries after which the system counts as well. */
-const LOOKS = 2;
-/** A request that ends its servers is sent for this long at least, so often, and a
- * server that it has ended is back after this time, in milliseconds. */
-const ENDING_TIME = 3_000;
-const ENDING_PAUSE = 250;
-const RETURN_TIME = 800;
+/** Number of successful checks of all entries after which the system has recovered. */
+const RECOVERY_CHECKS = 2;
+/** Minimum time for which a crashing request is sent, in milliseconds. */
+const CRASHING_MINIMUM_DURATION = 3_000;
+/** Interval between two copies of a crashing request, in milliseconds. */
+const CRASHING_INTERVAL = 250;
+/** Time after which a crashed server is replaced, in milliseconds. */
+const REPLACEMENT_DELAY = 800;
 
-/** What a run found. */
+/** Result of a soak run. */
 export interface SoakReport {
   seed: number;
   faults: number;
   calls: number;
   served: number;
-  /** A line for each broken promise, with the time. */
+  /** One line per broken guarantee, with its time. */
   breaches: string[];
-  /** Where the logs are kept. */
+  /** Folder of the logs. */
   folder: string;
 }
 
-/** See the module's comment. */
+/** Execution of one soak plan. */
 export class SoakRun {
   readonly #proxies = new Map<string, LoopbackProxy>();
-  readonly #misses = new Map<string, number>();
-  readonly #versions = new Map<string, number>();
+  readonly #failedChecks = new Map<string, number>();
+  readonly #configurationVersions = new Map<string, number>();
   readonly #breaches: string[] = [];
-  readonly #pending: Promise<void>[] = [];
-  readonly #faulty = new Set<Member>();
+  readonly #activeFaults: Promise<void>[] = [];
+  readonly #faultyProcesses = new Set<Member>();
   #deployment!: Deployment;
-  #version = 1;
-  #published: Promise<void> = Promise.resolve();
+  #publishedVersion = 1;
+  #lastPublication: Promise<void> = Promise.resolve();
   #serverCount = 0;
-  #isOver = false;
+  #isFinished = false;
 
   private constructor(
     private readonly plan: SoakPlan,
-    private readonly weakness: Weakness | null,
+    private readonly mutation: MutationName | null,
   ) {}
 
-  /** Plays a plan to its end; stops every process that it started. With a
-   * `weakness` a weak copy of the program is played. */
-  static async play(
+  /**
+   * Executes a plan, then stops every process that it started. A `mutation` is applied
+   * to the program first.
+   */
+  static async execute(
     plan: SoakPlan,
-    weakness: Weakness | null = null,
+    mutation: MutationName | null = null,
   ): Promise<SoakReport> {
-    const run = new SoakRun(plan, weakness);
+    const run = new SoakRun(plan, mutation);
     const stop = () => run.#stop();
     process.once("exit", stop);
     try {
-      return await run.#play();
+      return await run.#execute();
     } finally {
       process.off("exit", stop);
       run.#stop();
     }
   }
 
-  async #play(): Promise<SoakReport> {
+  async #execute(): Promise<SoakReport> {
     const { plan } = this;
     this.#deployment = await Deployment.start({
       entries: plan.entries,
       servers: plan.servers,
-      link: (from, name, to) => this.#link(`${from}>${name}`, to),
-      weakness: this.weakness,
+      link: (from, name, to) => this.#createLink(`${from}>${name}`, to),
+      mutation: this.mutation,
     });
     const deployment = this.#deployment;
     this.#serverCount = deployment.servers.length;
-    const watching = this.#watch();
-    const seconds = plan.length / 1_000;
-    const load = this.#load(1_000_000, seconds);
+    const monitoring = this.#monitorEntries();
+    const seconds = plan.loadDuration / 1_000;
+    const load = this.#runLoad(1_000_000, seconds);
     for (const fault of plan.faults) {
-      this.#pending.push(delay(fault.at).then(() => this.#strike(fault)));
+      this.#activeFaults.push(delay(fault.at).then(() => this.#inject(fault)));
     }
     const calls = await load;
-    await Promise.all(this.#pending);
-    await this.#recover();
-    const last = await this.#load(FINAL_CALLS, RECOVERY / 1_000);
-    this.#isOver = true;
-    await watching;
+    await Promise.all(this.#activeFaults);
+    await this.#waitUntilRecovered();
+    const last = await this.#runLoad(FINAL_CALLS, RECOVERY_TIMEOUT / 1_000);
+    this.#isFinished = true;
+    await monitoring;
     this.#check(calls, last);
     return {
       seed: plan.seed,
@@ -124,13 +130,13 @@
     };
   }
 
-  /** Lookups, which may repeat, and orders, which must not. */
-  async #load(requests: number, seconds: number): Promise<Call[]> {
+  /** Sends idempotent lookups to `stock` and non-idempotent requests to `orders`. */
+  async #runLoad(requests: number, seconds: number): Promise<Call[]> {
     const change = {
       requests,
       seconds,
       pause: 15,
-      isReady: (target: string) => (this.#misses.get(target) ?? 0) < 2,
+      isReady: (target: string) => (this.#failedChecks.get(target) ?? 0) < 2,
     };
     const results = await Promise.all([
       runLoad(this.#deployment.plan("stock", change)),
@@ -139,17 +145,20 @@
     return results.flatMap(({ calls }) => calls);
   }
 
-  /** The balancer's checks, and that no configuration is taken back. */
-  async #watch(): Promise<void> {
-    while (!this.#isOver) {
+  /**
+   * Simulates the readiness checks of the load balancer, and checks that no entry
+   * returns to an older configuration.
+   */
+  async #monitorEntries(): Promise<void> {
+    while (!this.#isFinished) {
       const { entries } = this.#deployment;
-      this.#replaceEnded();
-      await Promise.all(entries.map((entry) => this.#look(entry)));
+      this.#replaceCrashed();
+      await Promise.all(entries.map((entry) => this.#checkEntry(entry)));
       await delay(CHECK_INTERVAL);
     }
   }
 
-  async #look(entry: Member): Promise<void> {
+  async #checkEntry(entry: Member): Promise<void> {
     const run = `${entry.name}/${entry.process.pid}`;
     const signal = AbortSignal.timeout(CHECK_INTERVAL);
     const isReady = await request(`http://${entry.readiness}/-/readyz`, {
@@ -158,66 +167,74 @@
       await body.dump();
       return statusCode === 200;
     }, () => false);
-    const misses = isReady ? 0 : (this.#misses.get(entry.address) ?? 0) + 1;
-    this.#misses.set(entry.address, misses);
+    const failures = isReady
+      ? 0
+      : (this.#failedChecks.get(entry.address) ?? 0) + 1;
+    this.#failedChecks.set(entry.address, failures);
     const status = isReady ? await this.#deployment.status(entry) : null;
     if (status === null) return;
     const { version } = status.configuration;
-    const known = this.#versions.get(run) ?? -1;
-    if (version < known) {
-      this.#breaches.push(`${run} went from version ${known} to ${version}`);
+    const previous = this.#configurationVersions.get(run) ?? -1;
+    if (version < previous) {
+      this.#breaches.push(`${run} went from version ${previous} to ${version}`);
     }
-    this.#versions.set(run, version);
+    this.#configurationVersions.set(run, version);
   }
 
-  #link(name: string, to: string): string {
+  #createLink(name: string, to: string): string {
     const proxy = LoopbackProxy.create(to);
     this.#proxies.set(name, proxy);
     return proxy.address;
   }
 
-  #strike(fault: SoakFault): Promise<void> {
+  #inject(fault: SoakFault): Promise<void> {
     const { entries, servers, store } = this.#deployment;
-    const [part, action] = fault.kind.split(".");
+    const [component, action] = fault.kind.split(".");
     const entry = entries[fault.target % entries.length];
     const server = servers[fault.target % servers.length];
-    switch (part) {
+    switch (component) {
       case "entry":
-        return this.#once(entry, () => this.#strikeEntry(entry, action, fault));
+        return this.#exclusively(
+          entry,
+          () => this.#injectEntryFault(entry, action, fault),
+        );
       case "server":
-        return this.#once(
+        return this.#exclusively(
           server,
-          () => this.#strikeServer(server, action, fault),
+          () => this.#injectServerFault(server, action, fault),
         );
       case "request":
-        return this.#endServers(fault);
+        return this.#sendCrashingRequests(fault);
       case "configuration":
         return this.#publish();
       case "store":
-        return this.#strikeStore(store, action, fault.duration);
+        return this.#injectStoreFault(store, action, fault.duration);
       default:
-        return this.#strikeLink(part, fault);
+        return this.#injectLinkFault(component, fault);
     }
   }
 
-  /** One version after the other, as the platform's operators do it. */
+  /** Publishes the next configuration, after the previous publication has finished. */
   #publish(): Promise<void> {
-    this.#published = this.#published.then(async () => {
-      await this.#deployment.publish(this.#version + 1);
-      this.#version += 1;
+    this.#lastPublication = this.#lastPublication.then(async () => {
+      await this.#deployment.publish(this.#publishedVersion + 1);
+      this.#publishedVersion += 1;
     });
-    return this.#published;
+    return this.#lastPublication;
   }
 
-  /** One fault at a time at each process: a paused one cannot be asked. */
-  async #once(member: Member, act: () => Promise<void>): Promise<void> {
-    if (this.#faulty.has(member)) return;
-    this.#faulty.add(member);
+  /**
+   * Skips `act` while another fault is active for the process. A paused process, for
+   * example, does not handle requests that set faults.
+   */
+  async #exclusively(member: Member, act: () => Promise<void>): Promise<void> {
+    if (this.#faultyProcesses.has(member)) return;
+    this.#faultyProcesses.add(member);
     await act();
-    this.#faulty.delete(member);
+    this.#faultyProcesses.delete(member);
   }
 
-  async #strikeEntry(
+  async #injectEntryFault(
     entry: Member,
     action: string,
     { duration }: SoakFault,
@@ -232,11 +249,11 @@
     }
     await delay(action === "kill" ? duration / 4 : 0);
     this.#deployment.restart(entry);
-    await this.#untilReady(entry);
+    await this.#waitUntilReady(entry);
   }
 
-  async #untilReady(entry: Member): Promise<void> {
-    const end = Date.now() + RECOVERY;
+  async #waitUntilReady(entry: Member): Promise<void> {
+    const end = Date.now() + RECOVERY_TIMEOUT;
     while (Date.now() < end) {
       const status = await this.#deployment.status(entry);
       if (status?.isReady) return;
@@ -244,41 +261,41 @@
     }
   }
 
-  async #strikeServer(
+  async #injectServerFault(
     server: Member,
     action: string,
     { duration }: SoakFault,
   ): Promise<void> {
     const deployment = this.#deployment;
-    const set = (faults: object) =>
+    const setFaults = (faults: object) =>
       deployment.setFaults(server.address, faults).catch(() => {});
     switch (action) {
       case "pause":
         return pause(server.process, duration);
       case "slow":
-        await set({ work: 120 });
+        await setFaults({ work: 120 });
         await delay(duration);
-        return set({ work: null });
+        return setFaults({ work: null });
       case "loses_answers":
-        return set({ loseAnswers: 6 });
+        return setFaults({ loseAnswers: 6 });
       case "crosses_answers":
-        return set({ crossed: 6 });
+        return setFaults({ crossed: 6 });
       case "drain":
-        await set({ draining: true });
-        await delay(DRAIN_TIME);
+        await setFaults({ draining: true });
+        await delay(DRAIN_DURATION);
         break;
     }
     server.process.kill("SIGKILL");
     await delay(action === "drain" ? 0 : duration / 4);
     if (action === "restart") {
-      // Another run under the same id, at the same address; it holds nothing.
+      // Starts a process with the same id and address, which owns no keys.
       while (server.process.signalCode === null) await delay(20);
       return deployment.restart(server);
     }
     this.#replace(server);
   }
 
-  /** Starts a server in place of one that has ended. */
+  /** Starts a server as a replacement of one that has ended. */
   #replace(server: Member): void {
     const { servers } = this.#deployment;
     this.#serverCount += 1;
@@ -286,37 +303,39 @@
     const id = `${service}-${this.#serverCount}`;
     servers.push(this.#deployment.startServer(service, id));
     const index = servers.indexOf(server);
-    this.#gone.push(...servers.splice(index, 1));
+    this.#terminatedServers.push(...servers.splice(index, 1));
   }
 
-  /** A caller sends the same request again and again, to all entries in turn. */
-  async #endServers({ duration, target }: SoakFault): Promise<void> {
+  /** Repeatedly sends a crashing request, to all entries in turn. */
+  async #sendCrashingRequests({ duration, target }: SoakFault): Promise<void> {
     const deployment = this.#deployment;
     const service = target % 2 === 0 ? "stock" : "orders";
-    const end = Date.now() + ENDING_TIME + duration;
+    const end = Date.now() + CRASHING_MINIMUM_DURATION + duration;
     for (let i = target; Date.now() < end; i++) {
       const entry = deployment.entries[i % deployment.entries.length];
-      void sendEnding(entry.address, service, target);
-      await delay(ENDING_PAUSE);
+      void sendCrashingRequest(entry.address, service, target);
+      await delay(CRASHING_INTERVAL);
     }
   }
 
-  /** Replaces servers that a request has ended, also one that waited for long at an
-   * entry which did not run. */
-  #replaceEnded(): void {
+  /**
+   * Replaces servers that were killed by a signal. A crashing request may have been queued
+   * for a long time at a paused entry, so that its server crashes after its sender ended.
+   */
+  #replaceCrashed(): void {
     for (const server of this.#deployment.servers) {
       if (server.process.signalCode === null) continue;
-      void this.#once(server, async () => {
-        await delay(RETURN_TIME);
+      void this.#exclusively(server, async () => {
+        await delay(REPLACEMENT_DELAY);
         this.#replace(server);
       });
     }
   }
 
-  /** Servers that have ended; what they ran still counts. */
-  readonly #gone: Member[] = [];
+  /** Servers that have ended. Their runs are part of the history. */
+  readonly #terminatedServers: Member[] = [];
 
-  async #strikeStore(
+  async #injectStoreFault(
     store: string,
     action: string,
     duration: number,
@@ -332,25 +351,27 @@
     await deployment.setFaults(store, {});
   }
 
-  async #strikeLink(part: string, fault: SoakFault): Promise<void> {
-    const isStore = part === "store_link";
+  async #injectLinkFault(component: string, fault: SoakFault): Promise<void> {
+    const isStore = component === "store_link";
     const links = [...this.#proxies]
       .filter(([name]) => name.endsWith(">store") === isStore)
       .map(([, proxy]) => proxy);
     const proxy = links[fault.target % links.length];
     const mode = fault.kind.split(".")[1];
-    proxy.set(mode as Parameters<LoopbackProxy["set"]>[0]);
+    proxy.setMode(mode as Parameters<LoopbackProxy["setMode"]>[0]);
     await delay(fault.duration);
-    proxy.set("pass");
+    proxy.setMode("pass");
   }
 
-  /** Waits until every entry knows every server, all of which run, and all keys are
-   * open. A request that ends its server may have waited at an entry that did not run
-   * until now, so they have to stay so for a while. */
-  async #recover(): Promise<void> {
+  /**
+   * Waits until all servers run, and every entry knows all servers, the latest
+   * configuration, and an open server for every key. The state must last for several
+   * checks, because a paused entry may still send a crashing request when it continues.
+   */
+  async #waitUntilRecovered(): Promise<void> {
     const { entries, servers } = this.#deployment;
-    const end = Date.now() + RECOVERY;
-    const isWell = async (entry: Member) => {
+    const end = Date.now() + RECOVERY_TIMEOUT;
+    const hasRecovered = async (entry: Member) => {
       const ids = servers.map(({ name }) => name).sort().join();
       const status = await this.#deployment.status(entry);
       const known = status?.servers.filter((each) => !each.isDraining)
@@ -359,13 +380,13 @@
         signalCode === null
       );
       return status !== null && isRunning && known === ids &&
-        status.configuration.version === this.#version &&
+        status.configuration.version === this.#publishedVersion &&
         status.assignments.every(({ ranges, open }) => ranges === open);
     };
-    for (let looks = 0; looks < LOOKS; looks++) {
+    for (let checks = 0; checks < RECOVERY_CHECKS; checks++) {
       for (const entry of entries) {
-        while (!await isWell(entry)) {
-          if (Date.now() > end) return this.#noteUnwell(entry);
+        while (!await hasRecovered(entry)) {
+          if (Date.now() > end) return this.#reportUnrecovered(entry);
           await delay(100);
         }
       }
@@ -373,13 +394,13 @@
     }
   }
 
-  async #noteUnwell(entry: Member): Promise<void> {
+  async #reportUnrecovered(entry: Member): Promise<void> {
     const text = JSON.stringify(await this.#deployment.status(entry));
     this.#breaches.push(`${entry.name} has not recovered: ${text}`);
   }
 
   #check(calls: Call[], last: Call[]): void {
-    const members = [...this.#deployment.servers, ...this.#gone];
+    const members = [...this.#deployment.servers, ...this.#terminatedServers];
     const runs = members.flatMap((each) => this.#deployment.runs(each));
     const history = { calls: [...calls, ...last], runs: asIdempotent(runs) };
     for (const { name, breaches } of checkHistory(history)) {
@@ -388,14 +409,14 @@
     const unserved = last.filter((call) => !isServed(call));
     if (unserved.length > last.length * (1 - FINAL_SHARE)) {
       this.#breaches.push(
-        `after all faults ${unserved.length} of ${last.length} were not served`,
+        `after all faults ${unserved.length} of ${last.length} requests were not served`,
       );
     }
-    if (this.plan.isPlannedOnly) this.#checkPlanned(calls, runs);
+    if (this.plan.isPlannedOnly) this.#checkPlannedRun(calls, runs);
   }
 
-  /** Planned work loses no request that a server has begun to work on. */
-  #checkPlanned(calls: Call[], runs: Run[]): void {
+  /** Checks that planned operations lose no request that a server started to run. */
+  #checkPlannedRun(calls: Call[], runs: Run[]): void {
     const ran = new Set(runs.map(({ requestId }) => requestId));
     for (const { requestId, status, target, startedAt } of calls) {
       if (status !== 0 || !ran.has(requestId)) continue;
@@ -405,31 +426,31 @@
   }
 
   #stop(): void {
-    this.#isOver = true;
+    this.#isFinished = true;
     this.#deployment?.stop();
     for (const proxy of this.#proxies.values()) proxy.close();
   }
 }
 
-async function sendEnding(
+async function sendCrashingRequest(
   address: string,
   service: string,
   variant: number,
 ): Promise<void> {
   const headers = PlatformHeaders.create().forCaller({
-    id: `ends-${randomUUID()}`,
+    id: `crash-${randomUUID()}`,
     timeout: 2_000,
     key: variant * 1_000,
   });
-  await request(`http://${address}${endingPath(service)}`, {
+  await request(`http://${address}${crashingPath(service)}`, {
     method: "POST",
     headers: { host: HOST, ...headers },
-    body: `ends its server ${variant}`,
-    // Entries may be paused or gone.
+    body: `crashes its server ${variant}`,
+    // Entries may be paused or stopped.
   }).then(({ body }) => body.dump(), () => {});
 }
 
-/** Lookups are idempotent although the load sends them by POST. */
+/** Marks lookups as idempotent by method GET; the load sends them as POST. */
 function asIdempotent(runs: Run[]): Run[] {
   return runs.map((run) =>
     run.service === "stock" ? { ...run, method: "GET" } : run
--- a/test/soak/soak_test.ts
+++ b/test/soak/soak_test.ts
@@ -1,34 +1,34 @@
 import test from "ava";
-import { extendedPlanOf, planOf } from "./soak_plan.ts";
+import { createExtendedPlan, createPlan } from "./soak_plan.ts";
 import { SoakRun } from "./soak_run.ts";
 
-/** Time under load, in milliseconds: a short run of the whole thing. */
-const LENGTH = 6_000;
+/** Duration of the load, in milliseconds; shorter than in the soak itself. */
+const LOAD_DURATION = 6_000;
 
-test("soak: the plan of a seed is always the same", (t) => {
-  t.deepEqual(planOf(5, LENGTH), planOf(5, LENGTH));
-  t.notDeepEqual(planOf(5, LENGTH), planOf(6, LENGTH));
-  t.true(planOf(8, 15_000).isPlannedOnly);
+test("soak: a plan depends only on its seed", (t) => {
+  t.deepEqual(createPlan(5, LOAD_DURATION), createPlan(5, LOAD_DURATION));
+  t.notDeepEqual(createPlan(5, LOAD_DURATION), createPlan(6, LOAD_DURATION));
+  t.true(createPlan(8, 15_000).isPlannedOnly);
 });
 
 for (const seed of [4, 7]) {
-  test.serial(`soak: seed ${seed} breaks no promise`, async (t) => {
-    const report = await SoakRun.play(planOf(seed, LENGTH));
+  test.serial(`soak: seed ${seed} breaks no guarantee`, async (t) => {
+    const report = await SoakRun.execute(createPlan(seed, LOAD_DURATION));
     t.deepEqual(report.breaches, []);
     t.true(report.served > report.calls / 3, JSON.stringify(report));
   });
 }
 
-test("soak: an extended plan is the seed's with more", (t) => {
-  const { faults } = planOf(5, LENGTH);
-  const extended = extendedPlanOf(5, LENGTH);
-  t.deepEqual(extended, extendedPlanOf(5, LENGTH));
+test("soak: an extended plan adds faults to the plan of its seed", (t) => {
+  const { faults } = createPlan(5, LOAD_DURATION);
+  const extended = createExtendedPlan(5, LOAD_DURATION);
+  t.deepEqual(extended, createExtendedPlan(5, LOAD_DURATION));
   t.deepEqual(extended.faults.slice(0, faults.length), faults);
   t.true(extended.faults.length > faults.length);
 });
 
-test.serial("soak: extended seed 11 breaks no promise", async (t) => {
-  const report = await SoakRun.play(extendedPlanOf(11, LENGTH));
+test.serial("soak: extended seed 11 breaks no guarantee", async (t) => {
+  const report = await SoakRun.execute(createExtendedPlan(11, LOAD_DURATION));
   t.deepEqual(report.breaches, []);
   t.true(report.served > report.calls / 3, JSON.stringify(report));
 });
--- a/test/support/backend_server.ts
+++ b/test/support/backend_server.ts
@@ -1,11 +1,11 @@
 /**
- * Entries of backend servers, for tests in which most of their fields are alike.
+ * Creates registry entries of backend servers with default values for tests.
  *
  * @module
  */
 import type { BackendServer } from "../../src/core/fleet/index.ts";
 
-/** The entry of a server `id`, but for what `change` says. */
+/** Returns the registry entry of server `id`; `change` overrides the defaults. */
 export function backendServer(
   id: string,
   change: Partial<BackendServer> = {},
--- a/test/support/bundled_program.ts
+++ b/test/support/bundled_program.ts
@@ -1,6 +1,6 @@
 /**
- * The program as tests run it: bundled once for each test process, as it is or
- * with a weakness that the checks have to find.
+ * Bundles the program once per test process, either unchanged or with a mutation
+ * that the checks must detect.
  *
  * @module
  */
@@ -10,56 +10,61 @@
 import type { Plugin } from "esbuild";
 import { bundle } from "../../tools/bundle.ts";
 
-/** A change of one line of the program that breaks a promise. */
-interface Weakening {
+/** A change of one line of the program that breaks a guarantee. */
+interface Mutation {
   file: string;
-  sound: string;
-  weak: string;
+  original: string;
+  mutated: string;
 }
 
-/** Weak copies of the program. */
-export const WEAKNESSES = {
-  /** Non-idempotent work whose answer is lost is sent again. */
+/** Mutations of the program, by name. */
+export const MUTATIONS = {
+  /** Retries non-idempotent requests whose response was lost. */
   second_try: {
     file: "src/core/dispatch/outcome_review.ts",
-    sound: "return request.route.isIdempotent\n    ?",
-    weak: "return request.mayHaveRun\n    ?",
+    original: "return request.route.isIdempotent\n    ?",
+    mutated: "return request.mayHaveRun\n    ?",
   },
-  /** Keys of a server that does not answer are given away at once. */
+  /** Reassigns the keys of an unresponsive server without waiting for its lease. */
   no_wait: {
     file: "src/core/keyspace/term_holder.ts",
-    sound: "if (now >= this.#orders.heldUntil(range)) {",
-    weak: "if (now >= 0) {",
+    original: "if (now >= this.#orders.heldUntil(range)) {",
+    mutated: "if (now >= 0) {",
   },
-} satisfies Record<string, Weakening>;
+} satisfies Record<string, Mutation>;
 
-/** See {@linkcode WEAKNESSES}. */
-export type Weakness = keyof typeof WEAKNESSES;
+/** Name of one of {@linkcode MUTATIONS}. */
+export type MutationName = keyof typeof MUTATIONS;
 
-const bundles = new Map<Weakness | null, Promise<string>>();
+const bundles = new Map<MutationName | null, Promise<string>>();
 
-/** The file to run with Node. */
-export function bundledProgram(weakness: Weakness | null): Promise<string> {
-  const known = bundles.get(weakness);
-  if (known !== undefined) return known;
-  const made = makeBundle(weakness);
-  bundles.set(weakness, made);
-  return made;
+/** Returns the path of the bundle to run with Node.js. */
+export function bundledProgram(mutation: MutationName | null): Promise<string> {
+  const cached = bundles.get(mutation);
+  if (cached !== undefined) return cached;
+  const created = createBundle(mutation);
+  bundles.set(mutation, created);
+  return created;
 }
 
-async function makeBundle(weakness: Weakness | null): Promise<string> {
+async function createBundle(mutation: MutationName | null): Promise<string> {
   const file = join(mkdtempSync(join(tmpdir(), "plumloft-")), "plumloft.cjs");
-  await bundle(file, weakness === null ? [] : [weaken(WEAKNESSES[weakness])]);
+  await bundle(
+    file,
+    mutation === null ? [] : [mutationPlugin(MUTATIONS[mutation])],
+  );
   return file;
 }
 
-function weaken({ file, sound, weak }: Weakening): Plugin {
+function mutationPlugin(
+  { file, original: sound, mutated: weak }: Mutation,
+): Plugin {
   const text = readFileSync(file, "utf8");
   if (!text.includes(sound)) throw new Error(`${file} has no line "${sound}"`);
   const contents = text.replace(sound, weak);
   const name = file.split("/").at(-1)!.replace(".", "\\.");
   return {
-    name: "weaken",
+    name: "mutation",
     setup: (build) =>
       build.onLoad(
         { filter: new RegExp(`/${name}$`) },
--- a/test/support/bundled_program_test.ts
+++ b/test/support/bundled_program_test.ts
@@ -1,16 +1,16 @@
 /**
- * Weak copies show whether the checks of the soak find what they look for. Both of
- * them had come to name lines that are no longer in the program.
+ * Guards against mutations whose original line is no longer in the program. Such a
+ * mutation changes nothing, so it can't show that the checks of the soak detect faults.
  *
  * @module
  */
 import { readFileSync } from "node:fs";
 import test from "ava";
-import { WEAKNESSES } from "./bundled_program.ts";
+import { MUTATIONS } from "./bundled_program.ts";
 
-for (const [name, { file, sound, weak }] of Object.entries(WEAKNESSES)) {
-  test(`weak copies: ${name} changes one place of the program`, (t) => {
-    t.is(readFileSync(file, "utf8").split(sound).length, 2);
-    t.not(sound, weak);
+for (const [name, { file, original, mutated }] of Object.entries(MUTATIONS)) {
+  test(`mutations: ${name} changes exactly one place of the program`, (t) => {
+    t.is(readFileSync(file, "utf8").split(original).length, 2);
+    t.not(original, mutated);
   });
 }
--- a/test/support/caller_connection.ts
+++ b/test/support/caller_connection.ts
@@ -1,5 +1,5 @@
 /**
- * A server of callers without an entry behind it, and one connection to it.
+ * Runs a caller server without the rest of the entry, and opens a connection to it.
  *
  * @module
  */
@@ -13,19 +13,19 @@
 import { parseAddress } from "../../src/settings/index.ts";
 import { loopbackAddress } from "./loopback_address.ts";
 
-/** See the module's comment. */
+/** A caller server and an open connection to it. */
 export interface CallerConnection {
   server: CallerServer;
   socket: Socket;
-  /** What the server told its loop. */
+  /** Events that the server passed to its event loop. */
   occurrences: Occurrence[];
-  /** What was received on the connection so far. */
+  /** Returns the text received on the connection so far. */
   read(): string;
-  /** Another connection, from this address. */
+  /** Opens another connection from `localAddress`. */
   connectFrom(localAddress: string): Socket;
 }
 
-/** Starts a server that holds callers to `limits`; the test's end stops it. */
+/** Starts a server that enforces `limits`, and stops it when the test ends. */
 export async function connectCaller(
   t: ExecutionContext,
   limits: CallerLimits,
--- a/test/support/deployment.ts
+++ b/test/support/deployment.ts
@@ -1,5 +1,5 @@
 /**
- * A whole system as separate processes: a store, backend servers and entries.
+ * Starts a whole system as separate processes: a store, backend servers and entries.
  *
  * @module
  */
@@ -24,53 +24,55 @@
 } from "../../src/core/declaration/index.ts";
 import type { EntryStatus } from "../../src/core/entry_status.ts";
 import { type LoadPlan, type Run, runSchema } from "../../src/load/index.ts";
-import { bundledProgram, type Weakness } from "./bundled_program.ts";
+import { bundledProgram, type MutationName } from "./bundled_program.ts";
 import { loopbackAddress } from "./loopback_address.ts";
 
-/** Time in which a process must do what is waited for, in milliseconds. */
-const PATIENCE = 30_000;
-/** Time without a move after which keys count as settled, in milliseconds: four
- * looks of the term holder at the balance. */
+/** Maximum time that a test waits for a condition, in milliseconds. */
+const MAXIMUM_WAIT = 30_000;
+/**
+ * Assignments count as settled if they don't change for this time, in milliseconds. The
+ * term holder checks the load balance of keys four times in it.
+ */
 const SETTLE_TIME = 1_200;
-/** Host of all routes. */
+/** Host name of all routes. */
 export const HOST = "test.example";
-/** Lets the machine of an entry be suspended. */
-const MACHINE = fileURLToPath(
+/** Preloaded module that simulates the clocks of a suspended machine. */
+const SUSPENDABLE_CLOCK = fileURLToPath(
   new URL("suspendable_machine.cjs", import.meta.url),
 );
-/** Time in which a process takes in that it is suspended next, in milliseconds. */
-const NOTICE = 60;
+/** Time for a process to handle SIGUSR2 before it is stopped, in milliseconds. */
+const SIGNAL_DELAY = 60;
 
-/** One process of the system. */
+/** A process of the system. */
 export interface Member {
   name: string;
   process: ChildProcess;
-  /** Words of the command before its settings. */
+  /** Command line arguments before the settings. */
   command: string[];
-  /** Where the balancer asks. */
+  /** Address for the readiness checks of the load balancer. */
   readiness: string;
-  /** Where callers or entries reach it. */
+  /** Address for requests of callers or of entries. */
   address: string;
   admin: string;
-  /** Where other entries reach it. */
+  /** Address for messages of other entries. */
   peer: string;
-  log: string;
-  runs: string;
+  logFile: string;
+  runsFile: string;
   settingsFile: string;
 }
 
-/** What is started. */
+/** Options of a deployment. */
 export interface DeploymentOptions {
   entries: number;
   servers: number;
-  /** Address by which the process `from` reaches the one at `to`, which is
-   * named `name`; the address itself if absent. */
+  /** Returns the address at which process `from` connects to process `name`, which
+   * listens at `to`. By default it connects directly. */
   link?: (from: string, name: string, to: string) => string;
-  /** What is wrong with the program, to see whether checks find it. */
-  weakness?: Weakness | null;
+  /** Mutation of the program that the checks must detect. */
+  mutation?: MutationName | null;
 }
 
-/** See the module's comment. */
+/** A running system. */
 export class Deployment {
   readonly entries: Member[] = [];
   readonly servers: Member[] = [];
@@ -82,13 +84,13 @@
     private readonly link: (from: string, name: string, to: string) => string,
   ) {}
 
-  /** Starts a system with the services `stock`, keyed, and `orders`. */
+  /** Starts a system with the services `stock` (keyed) and `orders` (not keyed). */
   static async start(options: DeploymentOptions): Promise<Deployment> {
     const folder = mkdtempSync(join(tmpdir(), "plumloft-deployment-"));
     const store = loopbackAddress();
     const deployment = new Deployment(
       folder,
-      await bundledProgram(options.weakness ?? null),
+      await bundledProgram(options.mutation ?? null),
       store,
       options.link ?? ((_from, _name, to) => to),
     );
@@ -106,19 +108,19 @@
     for (let i = 1; i <= options.entries; i++) {
       deployment.entries.push(deployment.startEntry(`entry-${i}`));
     }
-    await deployment.until((status) =>
+    await deployment.waitUntil((status) =>
       status.servers.length === 2 * options.servers &&
       status.assignments.some(({ ranges, open, servers }) =>
         ranges === open && servers === options.servers
       )
     );
-    await deployment.#settle();
+    await deployment.#waitUntilSettled();
     return deployment;
   }
 
-  /** Waits until keys have found their places: for a while none has moved. */
-  async #settle(): Promise<void> {
-    const end = Date.now() + PATIENCE;
+  /** Waits until no assignment of keys has changed for {@linkcode SETTLE_TIME}. */
+  async #waitUntilSettled(): Promise<void> {
+    const end = Date.now() + MAXIMUM_WAIT;
     let last = "";
     while (Date.now() < end) {
       const all = await Promise.all(
@@ -129,10 +131,10 @@
       last = text;
       await delay(SETTLE_TIME);
     }
-    throw new Error(`keys still move: ${last}`);
+    throw new Error(`assignments have not settled: ${last}`);
   }
 
-  /** Starts a backend server, at the address of an earlier one if given. */
+  /** Starts a backend server, by default at a new address. */
   startServer(
     service: string,
     id: string,
@@ -147,12 +149,12 @@
       keyed: service === "stock",
       work: 5,
       heartbeatInterval: 300,
-      endedBy: endingPath(service),
+      endedBy: crashingPath(service),
       runsFile: join(this.folder, `${id}.runs`),
     });
   }
 
-  /** Starts an entry. */
+  /** Starts an entry whose seeds are the entries started so far. */
   startEntry(vm: string): Member {
     const [listen, readiness, peer, admin] = Array.from(
       { length: 4 },
@@ -172,7 +174,10 @@
     });
   }
 
-  /** A load of `service` through all entries: `stock` with 200 keys, or `orders`. */
+  /**
+   * Returns a load plan for `service` through all entries. Requests to `stock` use
+   * 200 keys.
+   */
   plan(service: "stock" | "orders", change: Partial<LoadPlan>): LoadPlan {
     return {
       targets: this.entries.map((entry) => entry.address),
@@ -192,13 +197,13 @@
     };
   }
 
-  /** Waits until what each living entry believes is as `holds` says. */
-  async until(holds: (status: EntryStatus) => boolean): Promise<void> {
-    const end = Date.now() + PATIENCE;
+  /** Waits until the status of each running entry satisfies `predicate`. */
+  async waitUntil(predicate: (status: EntryStatus) => boolean): Promise<void> {
+    const end = Date.now() + MAXIMUM_WAIT;
     for (const entry of this.entries) {
       while (entry.process.exitCode === null && !entry.process.killed) {
         const status = await this.status(entry);
-        if (status !== null && holds(status)) break;
+        if (status !== null && predicate(status)) break;
         if (Date.now() > end) {
           throw new Error(`${entry.name}: ${JSON.stringify(status)}`);
         }
@@ -207,7 +212,7 @@
     }
   }
 
-  /** What an entry believes, or null when it does not answer. */
+  /** Returns the status of an entry, or null if it does not respond. */
   async status(entry: Member): Promise<EntryStatus | null> {
     try {
       const { body } = await request(`http://${entry.admin}/status`);
@@ -217,7 +222,7 @@
     }
   }
 
-  /** The entry that holds the term. */
+  /** Returns the entry that holds the term. */
   async holder(): Promise<Member> {
     for (const entry of this.entries) {
       const status = await this.status(entry);
@@ -226,19 +231,19 @@
     throw new Error("no entry holds the term");
   }
 
-  /** All that ran on a server, also before it was killed. */
+  /** Returns the requests that a server has run, including those before it was killed. */
   runs(server: Member): Run[] {
-    return readLines(server.runs).map((line) =>
+    return readLines(server.runsFile).map((line) =>
       runSchema.parse(JSON.parse(line))
     );
   }
 
-  /** The log lines of an entry. */
+  /** Returns the log lines of an entry. */
   logOf(entry: Member): Record<string, unknown>[] {
-    return readLines(entry.log).map((line) => JSON.parse(line));
+    return readLines(entry.logFile).map((line) => JSON.parse(line));
   }
 
-  /** Switches faults of a server or of the store. */
+  /** Sets the simulated faults of a backend server or of the store. */
   async setFaults(address: string, faults: object): Promise<void> {
     const answer = await request(`http://${address}/stand-in/faults`, {
       method: "POST",
@@ -247,7 +252,7 @@
     await answer.body.dump();
   }
 
-  /** Kills everything that is left. */
+  /** Kills all processes. */
   stop(): void {
     for (const child of this.#children) child.kill("SIGKILL");
   }
@@ -261,50 +266,56 @@
     settings: object,
   ): Member {
     const file = join(this.folder, `${name}.yaml`);
-    const log = join(this.folder, `${name}.log`);
+    const logFile = join(this.folder, `${name}.log`);
     writeFileSync(file, stringify(settings));
     return {
       name,
-      process: this.#start(command, file, log),
+      process: this.#start(command, file, logFile),
       command,
       readiness: "",
       admin: "",
       peer: "",
       ...addresses,
-      log,
-      runs: join(this.folder, `${name}.runs`),
+      logFile,
+      runsFile: join(this.folder, `${name}.runs`),
       settingsFile: file,
     };
   }
 
-  #start(command: string[], settingsFile: string, log: string): ChildProcess {
+  #start(
+    command: string[],
+    settingsFile: string,
+    logFile: string,
+  ): ChildProcess {
     const program = [this.program, ...command, "--settings", settingsFile];
     const isEntry = command[0] === "serve";
-    const args = isEntry ? ["--require", MACHINE, ...program] : program;
+    const args = isEntry
+      ? ["--require", SUSPENDABLE_CLOCK, ...program]
+      : program;
     const child = spawn(process.execPath, args, {
       stdio: ["ignore", "pipe", "inherit"],
     });
-    child.stdout.pipe(createWriteStream(log, { flags: "a" }));
+    child.stdout.pipe(createWriteStream(logFile, { flags: "a" }));
     this.#children.push(child);
     return child;
   }
 
-  /** Suspends an entry's machine: nothing runs, and its steady clock stands still. */
+  /** Suspends the machine of an entry: the process and its monotonic clock stop. */
   async suspend({ process: child }: Member, duration: number): Promise<void> {
     child.kill("SIGUSR2");
-    await delay(NOTICE);
+    await delay(SIGNAL_DELAY);
     child.kill("SIGSTOP");
     await delay(duration);
     child.kill("SIGCONT");
   }
 
-  /** Starts a member again that has ended, with the settings that it had. */
+  /** Restarts a process that has ended, with its previous settings. */
   restart(member: Member): void {
-    const { command, settingsFile, log } = member;
-    member.process = this.#start(command, settingsFile, log);
+    const { command, settingsFile, logFile } = member;
+    member.process = this.#start(command, settingsFile, logFile);
   }
 
-  /** Publishes the configuration as a version. */
+  /** Publishes the configuration of the test as version `version`. */
   async publish(version: number): Promise<void> {
     const declaration = declarationSchema.parse({
       base: {
@@ -323,7 +334,7 @@
       overlays: [],
     });
     const store = PlatformStore.create(this.store, "test", "test");
-    const end = Date.now() + PATIENCE;
+    const end = Date.now() + MAXIMUM_WAIT;
     while (true) {
       try {
         const read = await store.readConfiguration();
@@ -340,12 +351,12 @@
   }
 }
 
-/** Path of a service whose requests end the server that runs them. */
-export function endingPath(service: string): string {
-  return `/${service}/ends-its-server`;
+/** Returns the path of requests that crash the server that runs them. */
+export function crashingPath(service: string): string {
+  return `/${service}/crashes-server`;
 }
 
-/** The lines of a file; none of one that was never written to. */
+/** Returns the lines of a file, or an empty list if the file does not exist. */
 function readLines(file: string): string[] {
   if (!existsSync(file)) return [];
   return readFileSync(file, "utf8").split("\n").filter((line) => line !== "");
--- a/test/support/empty_configuration.ts
+++ b/test/support/empty_configuration.ts
@@ -1,11 +1,11 @@
 /**
- * A configuration without services, for tests that need none.
+ * Creates configurations without services or routes.
  *
  * @module
  */
 import type { Configuration } from "../../src/core/catalog/index.ts";
 
-/** Version `version` of it. */
+/** Returns an empty configuration of version `version`. */
 export function emptyConfiguration(version: number): Configuration {
   return {
     version,
--- a/test/support/entry_in_process.ts
+++ b/test/support/entry_in_process.ts
@@ -1,7 +1,7 @@
 /**
- * An entry process inside the test's, with nothing behind it: unless it is given a
- * store, that does not answer and it has no configuration, so it answers each
- * request itself.
+ * Runs an entry inside the test process, without backend servers. Unless a test
+ * passes the address of a store, the store is unreachable and the entry has no
+ * configuration, so it answers every request itself.
  *
  * @module
  */
@@ -17,17 +17,19 @@
 import { entrySettingsSchema, parseAddress } from "../../src/settings/index.ts";
 import { loopbackAddress } from "./loopback_address.ts";
 
-/** See the module's comment. */
+/** An entry that runs inside the test process. */
 export interface EntryInProcess {
   entry: EntryProcess;
-  /** A new caller. */
+  /** Opens a new caller connection. */
   connect(): Socket;
-  /** Log lines so far. */
+  /** Returns the log lines written so far. */
   log(): Record<string, unknown>[];
 }
 
-/** Starts one that is ended by force this long after it was asked to stop, with
- * the store at an address. */
+/**
+ * Starts an entry that uses the store at address `store`. A shutdown is forced after
+ * `shutdownTimeoutSeconds`. The entry is stopped when the test ends.
+ */
 export async function startEntryInProcess(
   t: ExecutionContext,
   shutdownTimeoutSeconds: number,
--- a/test/support/fingerprint.ts
+++ b/test/support/fingerprint.ts
@@ -1,11 +1,11 @@
 /**
- * Fingerprints of requests for tests that look at something else.
+ * Creates request fingerprints for tests.
  *
  * @module
  */
 import { Fingerprint } from "../../src/core/quarantine/index.ts";
 
-/** The fingerprint of a request for a target with a body, if it has one. */
+/** Returns the fingerprint of a GET request for `target` with an optional body. */
 export function fingerprintOf(target: string, body = ""): Fingerprint {
   return Fingerprint.create({
     method: "GET",
--- a/test/support/large_configuration.ts
+++ b/test/support/large_configuration.ts
@@ -1,15 +1,15 @@
 /**
- * A configuration of many routes, as operators publish it when they move a whole
- * site: its document has some hundred kilobytes.
+ * Creates a configuration with many routes, as operators publish it when they migrate
+ * a whole site. Its document has a size of several hundred kilobytes.
  *
  * @module
  */
 import type { Configuration } from "../../src/core/catalog/index.ts";
 
-/** Routes of it. */
+/** Default number of routes. */
 export const LARGE_ROUTE_COUNT = 2_100;
 
-/** Version `version` of it, with one service `stock`. */
+/** Returns a large configuration of version `version` with the single service `stock`. */
 export function largeConfiguration(
   version: number,
   routes = LARGE_ROUTE_COUNT,
--- a/test/support/stepped_entry.ts
+++ b/test/support/stepped_entry.ts
@@ -1,5 +1,6 @@
 /**
- * The core of an entry process on its own, stepped by a test.
+ * Creates the core of an entry, without input and output, that a test advances
+ * step by step.
  *
  * @module
  */
@@ -21,10 +22,13 @@
   seed: 1,
 };
 
-/** A core that knows nothing yet, with options that differ as `change` says. */
+/**
+ * Creates a core that has not received any event yet. `change` overrides the default
+ * options.
+ */
 export function createSteppedEntry(change: Partial<EntryOptions> = {}) {
   const entry = Entry.create({ ...OPTIONS, ...change });
-  /** Takes an occurrence at `now`, in milliseconds. */
+  /** Processes an event at time `now`, in milliseconds, and returns the effects. */
   const step = (now: number, occurrence: Occurrence): EntryEffect[] =>
     entry.step({ ...occurrence, now });
   return { entry, step };
--- a/test/support/suspendable_machine.cjs
+++ b/test/support/suspendable_machine.cjs
@@ -1,31 +1,33 @@
-// Loaded before the program in a test that suspends its machine. A stopped process
-// sees its steady clock go on; one whose machine is suspended does not, while the
-// time of day and the time since the machine's start go on in both. So the steady
-// clock of this process leaves out the stop that follows a SIGUSR2.
+// Simulates the clocks of a suspended machine; loaded before the program in tests.
+//
+// While a machine is suspended, its monotonic clock stands still, but the time of day
+// and the time since boot advance. While only a process is stopped by SIGSTOP, its
+// monotonic clock advances as well. Therefore performance.now() of this process
+// excludes the first stop after a SIGUSR2.
 "use strict";
 
-/** Time between two looks from which the process was stopped, in milliseconds. */
-const SHORTEST_STOP = 100;
-/** Pause between two looks, in milliseconds. */
-const INTERVAL = 10;
+/** A longer gap between two clock reads counts as a stop, in milliseconds. */
+const MINIMUM_STOP = 100;
+/** Interval between two clock reads, in milliseconds. */
+const READ_INTERVAL = 10;
 
-const steady = performance.now.bind(performance);
-let suspended = 0;
-let isNext = false;
-let lookedAt = steady();
+const monotonicNow = performance.now.bind(performance);
+let suspendedTime = 0;
+let isStopExpected = false;
+let lastReadAt = monotonicNow();
 
 performance.now = () => {
-  const now = steady();
-  if (isNext && now - lookedAt > SHORTEST_STOP) {
-    suspended += now - lookedAt;
-    isNext = false;
+  const now = monotonicNow();
+  if (isStopExpected && now - lastReadAt > MINIMUM_STOP) {
+    suspendedTime += now - lastReadAt;
+    isStopExpected = false;
   }
-  lookedAt = now;
-  return now - suspended;
+  lastReadAt = now;
+  return now - suspendedTime;
 };
 
 process.on("SIGUSR2", () => {
   performance.now();
-  isNext = true;
+  isStopExpected = true;
 });
-setInterval(() => performance.now(), INTERVAL).unref();
+setInterval(() => performance.now(), READ_INTERVAL).unref();
