--- a/test/ending_request_test.ts
+++ b/test/ending_request_test.ts
@@ -1,7 +1,10 @@
 /**
- * The same as `ownership/ending_request_test.ts` with real processes: a request that
- * ends each server that begins to run it, sent again and again through all entries,
- * beside other callers. Servers are back at their address, under another id.
+ * The scenario of `ownership/ending_request_test.ts` with real processes. A caller
+ * repeatedly sends a request that crashes each server that runs it, through all entries
+ * and next to other callers. Crashed servers are replaced at the same address under
+ * another id.
+ *
+ * @module
  */
 import test, { type ExecutionContext } from "ava";
 import { randomUUID } from "node:crypto";
@@ -18,31 +21,34 @@
   type Member,
 } from "./support/deployment.ts";
 
-/** Runs that may come later than VMs take to learn of the third end. */
-const ALLOWED_RUNS = 3;
-const ALLOWED_ENDS = 3;
-const LEARNING_TIME = 3_000;
-/** Share of the other callers' requests that is served from then on. */
-const SERVED_SHARE = 0.98;
-/** Time for which the request is repeated, between two of them, and until an ended
- * server is back, in milliseconds. */
-const LENGTH = 18_000;
-const PAUSE = 500;
-const RETURN_TIME = 2_500;
+/** Maximum runs after all VMs have received the report of the last allowed crash. */
+const MAXIMUM_LATE_RUNS = 3;
+/** Number of crashes after which the request is quarantined. */
+const ALLOWED_CRASHES = 3;
+/** Time for VMs to receive the report of a crash, in milliseconds. */
+const PROPAGATION_TIME = 3_000;
+/** Minimum served share of the other callers' requests from then on. */
+const MINIMUM_SERVED_SHARE = 0.98;
+/** Time for which the request is repeated, in milliseconds. */
+const DURATION = 18_000;
+/** Interval between two sends, in milliseconds. */
+const SEND_INTERVAL = 500;
+/** Time until a crashed server is replaced, in milliseconds. */
+const RESTART_DELAY = 2_500;
 
 type Service = "stock" | "orders";
 
-/** Ids of the requests that end servers. */
-const ENDING_ID = /^ends-/;
+/** Matches the ids of crashing requests. */
+const CRASHING_ID = /^ends-/;
 
-/** Brings servers back that have ended, until it is stopped. */
+/** Replaces servers that have ended, until it is stopped. */
 class Supervisor {
-  readonly all: Member[];
+  readonly servers: Member[];
   #isStopped = false;
 
   private constructor(private readonly deployment: Deployment) {
-    this.all = [...deployment.servers];
-    for (const server of this.all) this.#watch(server);
+    this.servers = [...deployment.servers];
+    for (const server of this.servers) this.#watch(server);
   }
 
   static create(deployment: Deployment): Supervisor {
@@ -58,75 +64,82 @@
   }
 
   async #replace({ name, address }: Member): Promise<void> {
-    await delay(RETURN_TIME);
+    await delay(RESTART_DELAY);
     if (this.#isStopped) return;
     const service = name.split("-")[0];
-    const id = `${service}-${this.all.length + 1}`;
+    const id = `${service}-${this.servers.length + 1}`;
     const next = this.deployment.startServer(service, id, address);
-    this.all.push(next);
+    this.servers.push(next);
     this.#watch(next);
   }
 }
 
-/** Sends the request again and again, through all entries in turn, so many copies in
- * the same moment. */
-async function repeat(
+/**
+ * Repeatedly sends the crashing request, through all entries in turn, with `copies` at the
+ * same time. Returns the status codes.
+ */
+async function sendCrashingRequests(
   deployment: Deployment,
   service: Service,
   copies: number,
 ) {
   const codec = PlatformHeaders.create();
   const statuses: number[] = [];
-  const end = Date.now() + LENGTH;
+  const end = Date.now() + DURATION;
   for (let count = 0; Date.now() < end; count++) {
     const { entries } = deployment;
     const { address } = entries[count % entries.length];
     const id = `ends-${randomUUID()}`;
     const key = service === "stock" ? 9_000 : null;
-    const sent = request(`http://${address}${crashingPath(service)}`, {
+    const response = request(`http://${address}${crashingPath(service)}`, {
       method: "POST",
       headers: {
         host: HOST,
         ...codec.forCaller({ id, timeout: 2_000, key }),
       },
-      body: "ends its server",
+      body: "crashes its server",
     });
-    void sent.then(async ({ statusCode, body }) => {
+    void response.then(async ({ statusCode, body }) => {
       statuses.push(statusCode);
       await body.dump();
     }, () => statuses.push(0));
-    if (count % copies === copies - 1) await delay(PAUSE);
+    if (count % copies === copies - 1) await delay(SEND_INTERVAL);
   }
   return statuses;
 }
 
-/** Runs of the request that ends servers, sorted by start time. */
-function endingRuns(
+/** Returns the runs of the crashing request, sorted by start time. */
+function crashingRuns(
   deployment: Deployment,
   servers: readonly Member[],
 ): Run[] {
   return servers.flatMap((each) => deployment.runs(each))
-    .filter(({ requestId }) => ENDING_ID.test(requestId))
+    .filter(({ requestId }) => CRASHING_ID.test(requestId))
     .sort((a, b) => a.startedAt - b.startedAt);
 }
 
-/** Start time of the run that ended the last allowed server, or Infinity if fewer
- * servers ended. Counts each server once, so that concurrent copies on one server
- * don't start the measurement too early. */
-function lastAllowedEnd(runs: readonly Run[]): number {
-  const endTimes = new Map<string, number>();
+/**
+ * Returns the start time of the run that caused the last allowed crash, or Infinity if
+ * fewer servers crashed. Counts each server once, so that concurrent copies on one server
+ * don't start the measurement too early.
+ */
+function lastAllowedCrash(runs: readonly Run[]): number {
+  const crashTimes = new Map<string, number>();
   for (const { server, startedAt } of runs) {
-    if (!endTimes.has(server)) endTimes.set(server, startedAt);
+    if (!crashTimes.has(server)) crashTimes.set(server, startedAt);
   }
-  return [...endTimes.values()][ALLOWED_ENDS - 1] ?? Infinity;
+  return [...crashTimes.values()][ALLOWED_CRASHES - 1] ?? Infinity;
 }
 
 function servedShare(calls: readonly Call[]): number {
   return calls.filter(isServed).length / calls.length;
 }
 
-/** Whether every entry tells operators what it holds back, and why it refused. */
-async function checkTold(
+/**
+ * Checks that the status and the log of every entry show the quarantined request and the
+ * reason of a refusal.
+ */
+async function checkOperatorOutput(
   t: ExecutionContext,
   deployment: Deployment,
   service: Service,
@@ -140,11 +153,11 @@
     const refused = lines.find(({ message }) =>
       message === "request.held_back"
     );
-    const story = findStory(
+    const trace = findStory(
       String(refused?.request),
       lines.map((line) => JSON.stringify(line)),
     );
-    t.regex(story.cause, /^429 after \d+ ms, not run: /);
+    t.regex(trace.cause, /^429 after \d+ ms, not run: /);
   }
 }
 
@@ -161,21 +174,27 @@
     t.teardown(() => deployment.stop());
     const supervisor = Supervisor.create(deployment);
     t.teardown(() => supervisor.stop());
-    const calm = runLoad(deployment.plan(service, {
+    const otherLoad = runLoad(deployment.plan(service, {
       callers: 8,
       pause: 60,
-      seconds: LENGTH / 1_000,
+      seconds: DURATION / 1_000,
     }));
-    const statuses = await repeat(deployment, service, copies);
-    const { calls } = await calm;
-    const runs = endingRuns(deployment, supervisor.all);
-    const from = lastAllowedEnd(runs) + LEARNING_TIME;
+    const statuses = await sendCrashingRequests(deployment, service, copies);
+    const { calls } = await otherLoad;
+    const runs = crashingRuns(deployment, supervisor.servers);
+    const from = lastAllowedCrash(runs) + PROPAGATION_TIME;
     const late = runs.filter(({ startedAt }) => startedAt > from).length;
-    const endedServers = new Set(runs.map(({ server }) => server)).size;
-    t.log({ runs: runs.length, endedServers, late, sent: statuses.length });
-    t.true(late <= ALLOWED_RUNS, `${late} of ${runs.length} runs were late`);
+    const crashedServers = new Set(runs.map(({ server }) => server)).size;
+    t.log({ runs: runs.length, crashedServers, late, sent: statuses.length });
+    t.true(
+      late <= MAXIMUM_LATE_RUNS,
+      `${late} of ${runs.length} runs were late`,
+    );
     const served = servedShare(calls.filter((each) => each.startedAt > from));
-    t.true(served >= SERVED_SHARE, `${served} of the others were served`);
-    await checkTold(t, deployment, service);
+    t.true(
+      served >= MINIMUM_SERVED_SHARE,
+      `${served} of the others were served`,
+    );
+    await checkOperatorOutput(t, deployment, service);
   });
 }
--- a/test/explain_test.ts
+++ b/test/explain_test.ts
@@ -3,7 +3,7 @@
 import { type Call, isServed, runLoad } from "../src/load/index.ts";
 import { Deployment } from "./support/deployment.ts";
 
-/** The calls of a short load that were not served. */
+/** Runs a short load and returns the calls that were not served. */
 async function failingCalls(
   deployment: Deployment,
   service: "stock" | "orders",
@@ -14,14 +14,15 @@
   return calls.filter((call) => !isServed(call));
 }
 
-function storyOf(deployment: Deployment, id: string) {
+/** Traces a request in the logs of all entries, with unrelated and truncated lines added. */
+function traceOf(deployment: Deployment, id: string) {
   const lines = deployment.entries.flatMap((entry) =>
     deployment.logOf(entry).map((line) => JSON.stringify(line))
   );
   return findStory(id, ["cut {short", ...lines, `foreign ${id} text`]);
 }
 
-test("explain: a lost answer, a key on the move and overload are told by id alone", async (t) => {
+test("explain: the request id suffices to explain a lost response, a moving key and overload", async (t) => {
   const deployment = await Deployment.start({ entries: 1, servers: 2 });
   t.teardown(() => deployment.stop());
   const server = (name: string) =>
@@ -42,23 +43,23 @@
     .find((call) => call.status === 503)!;
   await new Promise((next) => setTimeout(next, 200));
 
-  const stories = [lost, moved, refused].map(({ requestId }) =>
-    storyOf(deployment, requestId)
+  const traces = [lost, moved, refused].map(({ requestId }) =>
+    traceOf(deployment, requestId)
   );
-  t.regex(stories[0].cause, /^502: orders-1 may have run it/);
-  t.regex(stories[1].cause, /^503 after \d+ ms, not run: /);
-  t.regex(stories[2].cause, /^503 after \d+ ms, not run: no server has room/);
-  for (const { lines } of stories) {
+  t.regex(traces[0].cause, /^502: orders-1 may have run it/);
+  t.regex(traces[1].cause, /^503 after \d+ ms, not run: /);
+  t.regex(traces[2].cause, /^503 after \d+ ms, not run: no server has room/);
+  for (const { lines } of traces) {
     t.is(lines[0].decision, "request.routed");
     t.not(lines[0].detail.version, undefined);
   }
   t.true(
-    stories[0].lines.some(({ decision, detail }) =>
+    traces[0].lines.some(({ decision, detail }) =>
       decision === "attempt.started" && detail.server === "orders-1"
     ),
   );
 });
 
-test("explain: a request without lines is said to have none", (t) => {
+test("explain: reports that a request has no log lines", (t) => {
   t.snapshot(findStory("r-1", ["{}", '{"request":"r-10"}']));
 });
--- a/test/large_configuration_test.ts
+++ b/test/large_configuration_test.ts
@@ -1,15 +1,12 @@
 /**
- * Seen: while VMs were restarted in turn, a configuration grew by 2,000 routes, and
- * from then on four in five keyed requests were refused until the end of the day,
- * though the store and the servers were sound. A read of such a document by a small
- * VM takes longer than the time that a call to the store was given, 0.7 s for the
- * whole answer: it was given up and begun anew, each time in vain, and filled the
- * VM's link, so that membership calls and the term holder's word came late as well.
- * VMs that no longer trusted the holder's word read the document for themselves,
- * the term passed on, and servers that had left went on being asked. What proves it:
- * lines `store.call_failed` of nearly all VMs within seconds, each for a read of the
- * configuration, and `holder.announced` again and again, on a day of our own on
- * which nothing was wrong with the store.
+ * Guards against a configuration that small VMs can't download. If the timeout covers the
+ * whole response (0.7 s), the read of a document with 2,000 more routes times out on a
+ * small VM and is retried without success. The retries saturate the VM's link, which
+ * delays membership calls and messages of the term holder. VMs then read the document
+ * themselves, the term changes hands repeatedly, and removed servers still get requests:
+ * four of five keyed requests were rejected although the store and the servers worked.
+ * The log shows `store.call_failed` for reads of the configuration on nearly all VMs
+ * within seconds, and repeated `holder.announced`.
  *
  * @module
  */
@@ -22,15 +19,17 @@
   LARGE_ROUTE_COUNT,
   largeConfiguration,
 } from "./support/large_configuration.ts";
-import { openThrottledLink } from "./support/throttled_link.ts";
+import { openThrottledLink } from "./support/small_link.ts";
 
-/** Half of a link of 7 Mbit/s, in bytes a second. */
-const LINK = 400_000;
-/** Time in which a VM must have the configuration, in milliseconds: its document
- * takes 1.3 s over that link. */
-const PATIENCE = 6_000;
+/** Bandwidth in bytes per second, half of a link of 7 Mbit/s. */
+const LINK_BANDWIDTH = 400_000;
+/**
+ * Maximum time until a VM has the configuration, in milliseconds. The download of the
+ * document takes 1.3 s over that link.
+ */
+const START_TIMEOUT = 6_000;
 
-test.serial("large configuration: a VM behind a small link starts with it", async (t) => {
+test.serial("large configuration: a VM with a slow link starts with it", async (t) => {
   const settings = storeServiceSchema.parse({ listen: "127.0.0.1:0" });
   const service = await StoreService.start(settings);
   t.teardown(() => service.close());
@@ -41,9 +40,9 @@
   );
   t.teardown(() => operator.close());
   await operator.publish(largeConfiguration(7), 0);
-  const store = await openThrottledLink(t, service.address, LINK);
+  const store = await openThrottledLink(t, service.address, LINK_BANDWIDTH);
   const { entry } = await startEntryInProcess(t, 2, store);
-  const end = performance.now() + PATIENCE;
+  const end = performance.now() + START_TIMEOUT;
   while (!entry.status().isReady && performance.now() < end) await delay(50);
   const { configuration, isReady } = entry.status();
   t.true(isReady);
--- a/test/order_client_test.ts
+++ b/test/order_client_test.ts
@@ -3,8 +3,8 @@
 import test, { type ExecutionContext } from "ava";
 import { PlatformOrders } from "../platform/index.ts";
 
-/** A sender of orders, and the address of a server that answers them so. */
-async function startOrders(
+/** Starts a server that responds with `respond`; returns its address and an order sender. */
+async function startOrderServer(
   t: ExecutionContext,
   respond: RequestListener,
 ): Promise<{ orders: PlatformOrders; address: string }> {
@@ -19,8 +19,8 @@
   return { orders, address: `127.0.0.1:${port}` };
 }
 
-/** An order to take keys back. */
-function releaseAt(address: string) {
+/** Returns an order that releases keys of the server at `address`. */
+function releaseOrder(address: string) {
   return {
     kind: "order.release",
     order: 1,
@@ -34,25 +34,26 @@
   } as const;
 }
 
-// Seen: addresses of keyed servers that had crashed passed to another service,
-// and their keys were on the move for 5 to 7 s; all orders there were answered
-// 400. Such a server takes an order for a caller's request, and one without an
-// id is refused before it is looked at whom it is meant for.
-test("orders: a server of another service is found out by its refusal", async (t) => {
-  const { orders, address } = await startOrders(t, (request, response) => {
+// Guards against keys that can't be moved for 5 to 7 s after the address of a crashed
+// keyed server was reassigned to a server of another service. That server handles an
+// order like a caller's request, and rejects a request without an id with status 400
+// before it checks the intended recipient. Thus an order needs a request id.
+test("orders: a server of another service rejects an order as misdirected", async (t) => {
+  const { orders, address } = await startOrderServer(t, (request, response) => {
     const hasId = request.headers["x-plumloft-request-id"] !== undefined;
     response.writeHead(hasId ? 421 : 400).end();
   });
-  const outcome = await orders.release(releaseAt(address), 500);
+  const outcome = await orders.release(releaseOrder(address), 500);
   t.is(outcome.kind, "misdirected");
 });
 
-// A second answer may come late, where the next one is due: taken for the answer
-// to a release, it would free keys on which the server still works.
-test("orders: an answer to another order is none", async (t) => {
-  const { orders, address } = await startOrders(t, (_, response) => {
+// A delayed duplicate response may arrive in place of the response to the next order. If
+// it were accepted as the response to a release, it would free keys that the server
+// still uses.
+test("orders: ignores the response to another order", async (t) => {
+  const { orders, address } = await startOrderServer(t, (_, response) => {
     response.writeHead(200, { "X-Plumloft-Request-Id": "another" }).end();
   });
-  const outcome = await orders.release(releaseAt(address), 500);
+  const outcome = await orders.release(releaseOrder(address), 500);
   t.is(outcome.kind, "failed");
 });
--- a/test/other_writers_test.ts
+++ b/test/other_writers_test.ts
@@ -1,6 +1,6 @@
 /**
- * Entries of another writer in the registry of a whole system under load: broken
- * ones over those of servers in use, and some under names of their own.
+ * Another client writes to the registry while a system is under load. It overwrites the
+ * entries of servers in use with invalid ones, and adds invalid entries under other ids.
  *
  * @module
  */
@@ -13,16 +13,22 @@
 import { isServed, runLoad } from "../src/load/index.ts";
 import { Deployment, type Member } from "./support/deployment.ts";
 
-/** Time for which entries are broken again and again, in milliseconds: longer than
- * a read of the registry takes to come, shorter than a server is used without an entry. */
-const BROKEN_TIME = 600;
-/** Pause between two such writes, far below the stand-ins' heartbeat: nearly every
- * read finds the broken entry. */
-const WRITE_PAUSE = 30;
-/** Time between two rounds: each begins and ends. */
-const ROUND = BROKEN_TIME + 1_500;
+/**
+ * Time for which invalid entries are written, in milliseconds. It is longer than the
+ * interval between two reads of the registry, and shorter than the time for which a server
+ * is used without a valid entry.
+ */
+const WRITE_DURATION = 600;
+/**
+ * Interval between two writes, in milliseconds. It is much shorter than the heartbeat
+ * interval of the stand-ins, so that nearly every read returns the invalid entry.
+ */
+const WRITE_INTERVAL = 30;
+/** Time between the starts of two rounds, in milliseconds. Servers repair their entries
+ * at the end of each. */
+const ROUND_DURATION = WRITE_DURATION + 1_500;
 
-const BROKEN = [
+const INVALID_VALUES = [
   "{",
   "\u0000\u0001",
   "[".repeat(30_000),
@@ -37,12 +43,12 @@
 ];
 
 /**
- * Writes entries; the next write follows soon. One that gets no answer may have been
- * done: the store of a machine with many more busy processes than cores stands still
- * for longer than a call may take. Paused for 0.9 s it ended this test, not the
- * system that is tested.
+ * Writes entries, and ignores a call without a response, since the next write follows soon.
+ * On a machine with many more busy processes than cores the store may be delayed for
+ * longer than the timeout of a call. A delay of 0.9 s made this test fail although the
+ * system under test worked.
  */
-async function write(
+async function appendRecords(
   client: StoreClient,
   records: readonly Buffer[],
 ): Promise<void> {
@@ -55,42 +61,48 @@
   }
 }
 
-/** The value of a counter of an entry, over all labels. */
-async function counted(entry: Member, name: string): Promise<number> {
+/** Returns the value of a counter of an entry, summed over all labels. */
+async function readCounter(entry: Member, name: string): Promise<number> {
   const { body } = await request(`http://${entry.admin}/metrics`);
   const lines = (await body.text()).split("\n");
   return lines.filter((line) => line.startsWith(`plumloft_${name}`))
     .reduce((sum, line) => sum + Number(line.split(" ").at(-1)), 0);
 }
 
-/** What the log says of a record, in order. */
-function told(lines: Record<string, unknown>[], key: string): unknown[] {
+/** Returns the names of the log lines about a record, in order. */
+function recordMessages(
+  lines: Record<string, unknown>[],
+  key: string,
+): unknown[] {
   return lines.filter((each) =>
     String(each.message).startsWith("record.") && each.key === key
   ).map(({ message }) => message);
 }
 
-test.serial("other writers: broken entries cost no request, and a line when they begin and end", async (t) => {
+test.serial("other writers: invalid entries fail no request, and are logged when they appear and disappear", async (t) => {
   const deployment = await Deployment.start({ entries: 2, servers: 2 });
   t.teardown(() => deployment.stop());
   const client = StoreClient.create(deployment.store);
   t.teardown(() => client.close());
-  const change = { seconds: ROUND * (BROKEN.length + 2) / 1_000, pause: 10 };
+  const change = {
+    seconds: ROUND_DURATION * (INVALID_VALUES.length + 2) / 1_000,
+    pause: 10,
+  };
   const load = Promise.all([
     runLoad(deployment.plan("stock", change)),
     runLoad(deployment.plan("orders", change)),
   ]);
-  for (const text of BROKEN) {
+  for (const text of INVALID_VALUES) {
     const value = Buffer.from(text);
     const records = ["stock-1", "orders-1", "other-1"].map((key) =>
       encodeKeyedRecord({ key, value })
     );
-    const end = performance.now() + BROKEN_TIME;
+    const end = performance.now() + WRITE_DURATION;
     while (performance.now() < end) {
-      await write(client, records);
-      await delay(WRITE_PAUSE);
+      await appendRecords(client, records);
+      await delay(WRITE_INTERVAL);
     }
-    await delay(ROUND - BROKEN_TIME);
+    await delay(ROUND_DURATION - WRITE_DURATION);
   }
   const calls = (await load).flatMap((each) => each.calls);
   t.deepEqual(calls.filter((call) => !isServed(call)), []);
@@ -98,21 +110,27 @@
   for (const entry of deployment.entries) {
     const lines = deployment.logOf(entry);
     t.false(lines.some((each) => each.message === "server.removed"));
-    // The store drops an entry that nobody writes again: that ends it too.
-    t.true(told(lines, "other-1").length <= 2);
+    // The store removes an entry that is not renewed, which also counts as its end.
+    t.true(recordMessages(lines, "other-1").length <= 2);
     for (const key of ["stock-1", "orders-1"]) {
-      const messages = told(lines, key);
-      const inTurn = messages.map((_, i) =>
+      const messages = recordMessages(lines, key);
+      const alternating = messages.map((_, i) =>
         i % 2 === 0 ? "record.unreadable" : "record.readable_again"
       );
-      t.deepEqual(messages, inTurn);
+      t.deepEqual(messages, alternating);
       if (entry !== holder) continue;
-      t.true(messages.length > 0, "no read found a broken entry");
-      t.is(messages.length % 2, 0, "the last one has ended");
+      t.true(messages.length > 0, "no read returned an invalid entry");
+      t.is(
+        messages.length % 2,
+        0,
+        "the last invalid entry was not followed by a valid one",
+      );
     }
   }
   const counts = await Promise.all(
-    deployment.entries.map((each) => counted(each, "records_unreadable_total")),
+    deployment.entries.map((each) =>
+      readCounter(each, "records_unreadable_total")
+    ),
   );
   t.true(counts.some((count) => count > 0), counts.join());
 });
--- a/test/path_test.ts
+++ b/test/path_test.ts
@@ -12,25 +12,31 @@
 
 const REQUESTS = 1_000;
 
-/** Loads of lookups, which repeat safely, and of orders, which must not. */
-function plans(deployment: Deployment, change: Partial<LoadPlan>): LoadPlan[] {
-  return [deployment.plan("stock", change), deployment.plan("orders", change)];
+/** Returns load plans of idempotent lookups and of non-idempotent orders. */
+function plans(
+  deployment: Deployment,
+  overrides: Partial<LoadPlan>,
+): LoadPlan[] {
+  return [
+    deployment.plan("stock", overrides),
+    deployment.plan("orders", overrides),
+  ];
 }
 
-async function runAll(deployment: Deployment, change: Partial<LoadPlan>) {
+async function runAll(deployment: Deployment, overrides: Partial<LoadPlan>) {
   const results = await Promise.all(
-    plans(deployment, change).map((plan) => runLoad(plan)),
+    plans(deployment, overrides).map((plan) => runLoad(plan)),
   );
   return results.flatMap((result) => result.calls);
 }
 
-/** Breaches in what callers and servers have recorded, by check. */
+/** Checks the history of callers and servers, and returns the breaches by check. */
 function breaches(
   deployment: Deployment,
   calls: Awaited<ReturnType<typeof runAll>>,
 ) {
   const runs = deployment.servers.flatMap((each) => deployment.runs(each));
-  // Lookups are idempotent although the load sends them by POST.
+  // Marks lookups as idempotent by method GET; the load sends them as POST.
   const history = {
     calls,
     runs: runs.map((run) =>
@@ -42,7 +48,7 @@
   );
 }
 
-test.serial("path: 1,000 requests over 3 entries get their own whole answers", async (t) => {
+test.serial("path: 1,000 requests through 3 entries get their own complete responses", async (t) => {
   const deployment = await Deployment.start({ entries: 3, servers: 3 });
   t.teardown(() => deployment.stop());
   const calls = await runAll(deployment, { requests: REQUESTS / 2 });
@@ -54,7 +60,7 @@
   });
 });
 
-test.serial("path: a server, the term holder and answers are lost under load", async (t) => {
+test.serial("path: a server, the term holder and responses are lost under load", async (t) => {
   const deployment = await Deployment.start({ entries: 3, servers: 3 });
   t.teardown(() => deployment.stop());
   const load = runAll(deployment, {
@@ -86,10 +92,11 @@
   t.true(gap < 8_000, `longest gap ${gap} ms`);
 });
 
-test.serial("path: keys go on while the store is out, and a new entry joins after it", async (t) => {
+test.serial("path: keys are served during an outage of the store, and a new entry joins after it", async (t) => {
   const deployment = await Deployment.start({ entries: 2, servers: 2 });
   t.teardown(() => deployment.stop());
-  // Lets keys find their places: one that an outage meets on its way waits.
+  // Waits until assignments settle: a key that moves when an outage begins stays
+  // unavailable.
   await runAll(deployment, { requests: 100_000, seconds: 3, pause: 5 });
   await deployment.setFaults(deployment.store, { outage: true });
   const calls = await runAll(deployment, {
@@ -109,46 +116,46 @@
   t.pass();
 });
 
-test.serial("path: an entry that starts while the store is out serves by its peers' word", async (t) => {
+test.serial("path: an entry that starts during an outage of the store serves with the state of its peers", async (t) => {
   const deployment = await Deployment.start({ entries: 2, servers: 2 });
   t.teardown(() => deployment.stop());
   await deployment.setFaults(deployment.store, { outage: true });
-  const late = deployment.startEntry("entry-3");
-  deployment.entries.push(late);
+  const newEntry = deployment.startEntry("entry-3");
+  deployment.entries.push(newEntry);
   await deployment.waitUntil((status) => status.isReady);
   const [lookups, orders] = plans(deployment, { requests: 100, callers: 2 });
   for (const plan of [lookups, orders]) {
-    const { calls } = await runLoad({ ...plan, targets: [late.address] });
+    const { calls } = await runLoad({ ...plan, targets: [newEntry.address] });
     t.is(calls.filter((call) => !isServed(call)).length, 0);
   }
 });
 
-test.serial("path: an entry that is asked to stop cuts nobody off", async (t) => {
+test.serial("path: an entry that shuts down fails no request", async (t) => {
   const deployment = await Deployment.start({ entries: 2, servers: 2 });
   t.teardown(() => deployment.stop());
-  const leaving = deployment.entries[0];
+  const stoppingEntry = deployment.entries[0];
   let isInRotation = true;
   const load = runAll(deployment, {
     requests: 100_000,
     seconds: 4,
     pause: 5,
-    isReady: (target) => target !== leaving.address || isInRotation,
+    isReady: (target) => target !== stoppingEntry.address || isInRotation,
   });
   await delay(500);
-  leaving.process.kill("SIGTERM");
+  stoppingEntry.process.kill("SIGTERM");
   await delay(200);
-  // A supervisor may repeat itself.
-  leaving.process.kill("SIGTERM");
+  // A supervisor may send the signal twice.
+  stoppingEntry.process.kill("SIGTERM");
   await delay(1_000);
   isInRotation = false;
   const calls = await load;
   const unserved = calls.filter((call) => !isServed(call));
   t.deepEqual(unserved.map(({ status, target }) => ({ status, target })), []);
-  while (leaving.process.exitCode === null) await delay(50);
-  t.is(leaving.process.exitCode, 0);
+  while (stoppingEntry.process.exitCode === null) await delay(50);
+  t.is(stoppingEntry.process.exitCode, 0);
 });
 
-test.serial("path: settings that are broken at a reload change nothing", async (t) => {
+test.serial("path: a reload ignores invalid settings", async (t) => {
   const deployment = await Deployment.start({ entries: 1, servers: 1 });
   t.teardown(() => deployment.stop());
   const [entry] = deployment.entries;
@@ -165,14 +172,14 @@
   t.is(calls.filter((call) => !isServed(call)).length, 0);
 });
 
-test.serial("path: a log that nobody reads stops no request", async (t) => {
+test.serial("path: requests are served while nobody reads the log", async (t) => {
   const deployment = await Deployment.start({ entries: 1, servers: 1 });
   t.teardown(() => deployment.stop());
   const [entry] = deployment.entries;
   const output = entry.process.stdout!;
   output.unpipe();
   output.pause();
-  // Each of these makes a line: many times what a pipe holds.
+  // Each request writes a log line; together they exceed the pipe buffer many times.
   const unrouted = await runLoad(
     deployment.plan("orders", { path: "/nowhere/", requests: 2_000 }),
   );
--- a/test/platform_test.ts
+++ b/test/platform_test.ts
@@ -61,7 +61,7 @@
 const record = (key: string, value: string) =>
   encodeKeyedRecord({ key, value: Buffer.from(value) });
 
-/** How a call failed. */
+/** Returns how a call failed, or `none`. */
 async function failureOf(call: Promise<unknown>): Promise<string> {
   try {
     await call;
@@ -72,7 +72,7 @@
   }
 }
 
-test("records: what is framed is read again", (t) => {
+test("records: encoded records decode to the same records", (t) => {
   const keyed = fc.record({
     key: fc.string({ maxLength: 40 }),
     value: fc.uint8Array({ minLength: 1, maxLength: 200 }),
@@ -99,13 +99,13 @@
   );
 });
 
-test("records: a page that is cut short is refused", (t) => {
+test("records: rejects a truncated page", (t) => {
   const whole = Buffer.concat([Buffer.alloc(16), record("k", "value")]);
   t.throws(() => decodePage(whole.subarray(0, whole.length - 1)));
   t.throws(() => decodePage(Buffer.alloc(3)));
 });
 
-test("configuration: what operators declare comes out of the document again", (t) => {
+test("configuration: the encoded document decodes to the declared configuration", (t) => {
   for (
     const [name, site] of [["co-operative", "thessalia"], [
       "lektorat",
@@ -121,7 +121,7 @@
   }
 });
 
-test("configuration: how servers begin is taken where both figures make sense, and refuses nothing", (t) => {
+test("configuration: the warm-up applies if both values are valid, and is ignored otherwise", (t) => {
   const decode = (figures: object) => {
     const service = { name: "s", max_connections: 9, ...figures };
     const limits = {
@@ -134,9 +134,9 @@
     const value = Buffer.from(JSON.stringify(document));
     return decodeConfiguration(value).services[0].warmUp;
   };
-  const usable = { duration: 3_000, requestsPerSecond: 4.3 };
-  t.deepEqual(decode({ warmUpSeconds: 3, warmUpRate: 4.3 }), usable);
-  const senseless = [
+  const warmUp = { duration: 3_000, requestsPerSecond: 4.3 };
+  t.deepEqual(decode({ warmUpSeconds: 3, warmUpRate: 4.3 }), warmUp);
+  const ignored = [
     {},
     { warmUpSeconds: 3 },
     { warmUpRate: 4.3 },
@@ -145,22 +145,22 @@
     { warmUpSeconds: "3", warmUpRate: 4.3 },
     { warmUpSeconds: 3, warmUpRate: null },
   ];
-  for (const figures of senseless) t.is(decode(figures), undefined);
+  for (const figures of ignored) t.is(decode(figures), undefined);
 });
 
-test("evacuations: the feed tells zones that are evacuated and taken back, whatever their records hold", async (t) => {
+test("evacuations: the feed reports evacuated and restored zones, whatever their records contain", async (t) => {
   const topic = "keyed.op";
-  const { store, client } = await storeWith(t, topic, []);
+  const { store, client } = await startStoreWith(t, topic, []);
   const zones = (read: Awaited<ReturnType<typeof store.readAll>>) =>
     read.occurrences.flatMap((each) =>
       each.kind === "evacuations.read" ? [each.read] : []
     );
   await store.evacuate("north", true);
-  const spoilt = rawRecord(
+  const malformedRecord = rawRecord(
     Buffer.from("evacuate/south"),
     Buffer.from([0xff, 0x00]),
   );
-  await client.append(topic, [spoilt], {});
+  await client.append(topic, [malformedRecord], {});
   const first = await store.readAll("configuration");
   t.deepEqual(zones(first), [{
     position: 2,
@@ -184,7 +184,7 @@
   ]);
 });
 
-test("configuration: splits and unknown fields are taken, faults are not", (t) => {
+test("configuration: accepts traffic splits and unknown fields, rejects invalid documents", (t) => {
   const route = {
     name: "r",
     host: "h",
@@ -196,7 +196,7 @@
     priority: 0,
     destinations: [{ service: "a", weight: 90 }, { service: "b", weight: 10 }],
   };
-  const document = (change: object) =>
+  const encodeDocument = (change: object) =>
     Buffer.from(JSON.stringify({
       version: 3,
       colour: "red",
@@ -209,18 +209,20 @@
       services: [{ name: "a", max_connections: 10, keyed: true, tls: false }],
       routes: [{ ...route, ...change }],
     }));
-  t.snapshot(decodeConfiguration(document({})));
-  t.throws(() => decodeConfiguration(document({ kind: "odd" })), { any: true });
-  t.throws(() => decodeConfiguration(document({ pathPrefix: "a" })), {
+  t.snapshot(decodeConfiguration(encodeDocument({})));
+  t.throws(() => decodeConfiguration(encodeDocument({ kind: "odd" })), {
     any: true,
   });
-  t.throws(() => decodeConfiguration(document({ destinations: null })), {
+  t.throws(() => decodeConfiguration(encodeDocument({ pathPrefix: "a" })), {
+    any: true,
+  });
+  t.throws(() => decodeConfiguration(encodeDocument({ destinations: null })), {
     any: true,
   });
   t.throws(() => decodeConfiguration(Buffer.from("{")), { any: true });
 });
 
-test("registry: an entry is decoded, a broken one refused", (t) => {
+test("registry: decodes a valid entry and rejects an invalid one", (t) => {
   const entry = {
     service: "a",
     address: "10.0.0.1:80",
@@ -234,7 +236,7 @@
   t.throws(() => decodeServer("i-1", broken), { any: true });
 });
 
-test("registry: an entry tells which run of its server it is from, or nothing", (t) => {
+test("registry: an entry has the incarnation of its server, or 0 if absent", (t) => {
   const decode = (change: object) => {
     const entry = {
       service: "a",
@@ -253,7 +255,7 @@
   }
 });
 
-test("headers: what answers say", (t) => {
+test("headers: decodes responses and caller requests", (t) => {
   const codec = PlatformHeaders.create();
   const read = (status: number, headers: Record<string, string>) =>
     codec.readAnswer(status, headers, "r-1");
@@ -298,7 +300,7 @@
   }));
 });
 
-test("store client: conditions, fences, repeats and lost answers", async (t) => {
+test("store client: conditional appends, fencing, retries and lost responses", async (t) => {
   const store = await startStore(t);
   const client = createClient(t, store.address);
   const append = (epoch: number, sequence: number, at?: number) =>
@@ -318,13 +320,13 @@
   t.is(end, 3);
 });
 
-// To the store all VMs are one producer, and it gives a repeated append its first
-// answer again, whatever its condition says. Two VMs that had read the same record
-// claimed the next term alike, so the second claim was taken for a repeat of the
-// first and both led: they numbered their grants alike, and two servers could have
-// the same keys with the same token. Proof: the store of the platform answers a
-// claim that is sent twice 200 both times, though its condition no longer holds.
-test("platform store: a term is given to one VM, also upon the same record", async (t) => {
+// Guards against two holders of one term. All VMs append as the same producer, and the
+// store detects duplicates of an append by its term and sequence. It repeats its first
+// response to a duplicate even if the condition no longer holds: it responds to a claim
+// that is sent twice with 200 both times. If two VMs that have read the same record used
+// the same sequence, both would hold the term. They would number their grants alike, so
+// two servers could own the same keys with the same token.
+test("platform store: only one VM claims a term, even if two have read the same record", async (t) => {
   const store = await startStore(t);
   const [first, second] = ["vm-1", "vm-2"].map((vm) => {
     const each = PlatformStore.create(store.address, vm, vm);
@@ -337,32 +339,32 @@
   t.is(records.end, 1);
 });
 
-test("store client: reads wait for news and say what has expired", async (t) => {
+test("store client: a read waits for new records and fails if records have expired", async (t) => {
   const store = await startStore(t);
   const client = createClient(t, store.address);
-  const waiting = client.read(TOPIC, 0, 2_000);
+  const pendingRead = client.read(TOPIC, 0, 2_000);
   await client.append(TOPIC, [record("k", "1")], {});
-  t.is((await waiting).records.length, 1);
+  t.is((await pendingRead).records.length, 1);
   store.set({ retention: 1 });
   await client.append(TOPIC, [record("k", "2"), record("k", "3")], {});
   t.is(await failureOf(client.read(TOPIC, 0)), "expired");
 });
 
-test("store client: a waiting read is given up when the store is lost", async (t) => {
+test("store client: a waiting read fails when the store is lost", async (t) => {
   const store = await startStore(t);
   const client = createClient(t, store.address);
   await client.newest(TOPIC);
-  const waiting = failureOf(client.read(TOPIC, 0, 20_000));
+  const pendingRead = failureOf(client.read(TOPIC, 0, 20_000));
   store.set({ outage: true });
   t.is(await failureOf(client.newest(TOPIC)), "unanswered");
-  t.is(await waiting, "unanswered");
+  t.is(await pendingRead, "unanswered");
 });
 
-test("store client: a store that takes calls and says nothing is unanswered", async (t) => {
+test("store client: a call fails as unanswered if the store accepts it but sends no response", async (t) => {
   const sockets = new Set<Socket>();
   const server = createServer((socket) => {
     sockets.add(socket);
-    // The client resets a connection on which it waited in vain.
+    // The client resets the connection after its timeout.
     socket.on("error", () => {});
   });
   await new Promise<void>((done) => server.listen(0, "127.0.0.1", done));
@@ -372,12 +374,12 @@
   });
   const { port } = server.address() as { port: number };
   const client = createClient(t, `127.0.0.1:${port}`);
-  const begun = performance.now();
+  const startedAt = performance.now();
   t.is(await failureOf(client.newest(TOPIC)), "unanswered");
-  t.true(performance.now() - begun < 5_000);
+  t.true(performance.now() - startedAt < 5_000);
 });
 
-test("store: records that do not decode are passed over and told", async (t) => {
+test("store: skips and reports records that can't be decoded", async (t) => {
   const service = await startStore(t);
   const client = createClient(t, service.address);
   const store = PlatformStore.create(service.address, "vm", "vm");
@@ -401,20 +403,23 @@
   t.snapshot(await store.readServers(all.position));
 });
 
-/** Values that other writers may leave: bytes, texts and values that are none of
- * ours, and ours with a field gone, of another type or out of bounds. */
+/**
+ * Generates values that other clients may write: arbitrary bytes, texts and values, and
+ * variants of `valid` with a field that is missing, of another type or out of range, a
+ * truncated encoding, or a changed byte.
+ */
 function hostileValue(
-  good: object,
+  valid: object,
   encode: (value: unknown) => Buffer,
 ): fc.Arbitrary<Buffer> {
-  const field = fc.constantFrom(...Object.keys(good));
-  const odd = fc.oneof(
+  const field = fc.constantFrom(...Object.keys(valid));
+  const invalidField = fc.oneof(
     fc.jsonValue(),
     fc.double(),
     fc.constantFrom(0, -1, 1.5, 1e12, 2 ** 60, "", "x".repeat(300), "h:99999"),
   );
   const text = (value: string) => Buffer.from(value);
-  const whole = encode(good);
+  const validValue = encode(valid);
   return fc.oneof(
     fc.uint8Array({ maxLength: 64 }).map((bytes) => Buffer.from(bytes)),
     fc.json().map(text),
@@ -424,20 +429,22 @@
     ),
     fc.constant(Buffer.alloc(70_000, "7")),
     fc.constant(Buffer.from([0x9a, 0xff, 0xff, 0xff, 0xff])),
-    field.map((name) => encode({ ...good, [name]: undefined })),
-    fc.tuple(field, odd).map(([name, value]) =>
-      encode({ ...good, [name]: value })
+    field.map((name) => encode({ ...valid, [name]: undefined })),
+    fc.tuple(field, invalidField).map(([name, value]) =>
+      encode({ ...valid, [name]: value })
     ),
-    fc.nat(whole.length - 1).map((length) => whole.subarray(0, length)),
-    fc.tuple(fc.nat(whole.length - 1), fc.nat(255)).map(([at, byte]) => {
-      const bytes = Buffer.from(whole);
+    fc.nat(validValue.length - 1).map((length) =>
+      validValue.subarray(0, length)
+    ),
+    fc.tuple(fc.nat(validValue.length - 1), fc.nat(255)).map(([at, byte]) => {
+      const bytes = Buffer.from(validValue);
       bytes[at] = byte;
       return bytes;
     }),
   );
 }
 
-/** Frames a record whose key may be any bytes. */
+/** Encodes a record whose key may be any bytes. */
 function rawRecord(key: Uint8Array, value: Buffer): Buffer {
   const content = Buffer.concat([Buffer.from([key.length]), key, value]);
   const length = Buffer.alloc(4);
@@ -445,10 +452,10 @@
   return Buffer.concat([length, content]);
 }
 
-const jsonOf = (value: unknown) => Buffer.from(JSON.stringify(value));
-const cborOf = (value: unknown) => Buffer.from(encode(value));
+const encodeJson = (value: unknown) => Buffer.from(JSON.stringify(value));
+const encodeCbor = (value: unknown) => Buffer.from(encode(value));
 
-const GOOD_ENTRY = {
+const VALID_ENTRY = {
   born: 1_790_000_000_000,
   service: "a",
   address: "10.0.0.1:80",
@@ -459,8 +466,8 @@
   warmupLeft: 900,
 };
 
-/** A store with `records` in a topic, and where the topic ended before. */
-async function storeWith(
+/** Starts a store with `records` in `topic`; returns a platform store and a client. */
+async function startStoreWith(
   t: ExecutionContext,
   topic: string,
   records: readonly Buffer[],
@@ -473,46 +480,51 @@
   return { store, client };
 }
 
-test("hostile entries: each names no server or one that can be used, the others hold", async (t) => {
-  const { store, client } = await storeWith(t, "keyed.servers", []);
+test("hostile entries: each is rejected or usable, and the others are read", async (t) => {
+  const { store, client } = await startStoreWith(t, "keyed.servers", []);
   const hostile = fc.record({
     key: fc.oneof(
       fc.constantFrom("h-1", "h-2", "", " ", "a\nb", "\u00e9", "h".repeat(255))
         .map((key) => Buffer.from(key)),
       fc.uint8Array({ maxLength: 8 }).map((key) => Buffer.from(key)),
     ),
-    value: hostileValue(GOOD_ENTRY, jsonOf),
+    value: hostileValue(VALID_ENTRY, encodeJson),
   });
   let position = 0;
   await fc.assert(
-    fc.asyncProperty(fc.array(hostile, { maxLength: 6 }), async (some) => {
-      const good = ["g-1", "g-2"].map((key) =>
-        rawRecord(Buffer.from(key), jsonOf(GOOD_ENTRY))
-      );
-      const bad = some.map(({ key, value }) => rawRecord(key, value));
-      await client.append(
-        "keyed.servers",
-        [good[0], ...bad, good[1]],
-        {},
-      );
-      for (const from of [position, null]) {
-        const read = await store.readServers(from);
-        const ids = read.entries.map(({ id }) => id);
-        t.true(ids.includes("g-1") && ids.includes("g-2"));
-        for (const { id, address, slots } of read.entries) {
-          t.regex(id, /^[\x21-\x7e]+$/);
-          t.regex(address, /^[\w.-]+:[1-9]\d*$/);
-          t.true(Number.isInteger(slots) && slots >= 1 && slots <= 4_096);
+    fc.asyncProperty(
+      fc.array(hostile, { maxLength: 6 }),
+      async (hostileRecords) => {
+        const good = ["g-1", "g-2"].map((key) =>
+          rawRecord(Buffer.from(key), encodeJson(VALID_ENTRY))
+        );
+        const bad = hostileRecords.map(({ key, value }) =>
+          rawRecord(key, value)
+        );
+        await client.append(
+          "keyed.servers",
+          [good[0], ...bad, good[1]],
+          {},
+        );
+        for (const from of [position, null]) {
+          const read = await store.readServers(from);
+          const ids = read.entries.map(({ id }) => id);
+          t.true(ids.includes("g-1") && ids.includes("g-2"));
+          for (const { id, address, slots } of read.entries) {
+            t.regex(id, /^[\x21-\x7e]+$/);
+            t.regex(address, /^[\w.-]+:[1-9]\d*$/);
+            t.true(Number.isInteger(slots) && slots >= 1 && slots <= 4_096);
+          }
+          for (const { reason } of read.faults) t.true(reason.length <= 160);
+          position = read.position;
         }
-        for (const { reason } of read.faults) t.true(reason.length <= 160);
-        position = read.position;
-      }
-    }),
+      },
+    ),
     { numRuns: 150, seed: 3 },
   );
 });
 
-test("hostile configurations and holders: none ends a read, and good ones are taken", async (t) => {
+test("hostile configurations and holders: none fails a read, and valid ones are read", async (t) => {
   const limits = {
     maximumHeaderBytes: 1,
     maximumBodyBytes: 1,
@@ -526,19 +538,19 @@
       feed: "configuration" as const,
       topic: "keyed.op",
       key: "config",
-      good: jsonOf(configuration),
-      hostile: hostileValue(configuration, jsonOf),
+      good: encodeJson(configuration),
+      hostile: hostileValue(configuration, encodeJson),
     },
     {
       feed: "holder" as const,
       topic: "keyed.holder",
       key: "holder",
-      good: cborOf(holder),
-      hostile: hostileValue(holder, cborOf),
+      good: encodeCbor(holder),
+      hostile: hostileValue(holder, encodeCbor),
     },
   ];
   for (const { feed, topic, key, good, hostile } of feeds) {
-    const { store, client } = await storeWith(t, topic, []);
+    const { store, client } = await startStoreWith(t, topic, []);
     let next = 0;
     await fc.assert(
       fc.asyncProperty(hostile, fc.boolean(), async (value, isOwnKey) => {
@@ -556,12 +568,14 @@
           ]
         ) {
           const kinds = read.occurrences.map(({ kind }) => kind);
-          const looks = kinds.filter((kind) => kind === "holder.read").length;
-          // A whole read of the feed says that it was read, whatever is in it.
-          t.is(looks, feed === "holder" && read.isWhole ? 1 : 0);
+          const holderReads = kinds.filter((kind) =>
+            kind === "holder.read"
+          ).length;
+          // A complete read of the feed is reported even if it contains no valid record.
+          t.is(holderReads, feed === "holder" && read.isWhole ? 1 : 0);
           const zones = kinds.filter((kind) => kind === "evacuations.read");
           t.is(zones.length, feed === "configuration" ? 1 : 0);
-          const others = kinds.length - looks - zones.length;
+          const others = kinds.length - holderReads - zones.length;
           if (!isOwnKey) t.is(others, 1);
           for (const each of read.occurrences) {
             if (each.kind !== "holder.announced") continue;
@@ -577,20 +591,26 @@
 });
 
 const ALL_KEYS = { first: 0, last: KEY_COUNT - 1 };
-const GOOD_ASSIGNMENT = {
+const VALID_ASSIGNMENT = {
   service: "g",
   term: 7,
   version: 2,
   ranges: [{ ...ALL_KEYS, server: "i-1", address: "h:1", isOpen: true }],
 };
 
-test("hostile assignments: one that cannot be read may be held in whole, the others hold", async (t) => {
-  const good = rawRecord(Buffer.from("service/g"), cborOf(GOOD_ASSIGNMENT));
-  const term = rawRecord(Buffer.from("term"), cborOf({ term: 9, vm: "v" }));
-  const { store, client } = await storeWith(t, "keyed.ownership", [good, term]);
-  const own = { ...GOOD_ASSIGNMENT, service: "h" };
+test("hostile assignments: an unreadable one covers all keys without a server, and others are read", async (t) => {
+  const good = rawRecord(
+    Buffer.from("service/g"),
+    encodeCbor(VALID_ASSIGNMENT),
+  );
+  const term = rawRecord(Buffer.from("term"), encodeCbor({ term: 9, vm: "v" }));
+  const { store, client } = await startStoreWith(t, "keyed.ownership", [
+    good,
+    term,
+  ]);
+  const own = { ...VALID_ASSIGNMENT, service: "h" };
   await fc.assert(
-    fc.asyncProperty(hostileValue(own, cborOf), async (value) => {
+    fc.asyncProperty(hostileValue(own, encodeCbor), async (value) => {
       const key = Buffer.from("service/h");
       await client.append("keyed.ownership", [rawRecord(key, value)], {});
       const { records, isTermKnown, faults } = await store.readRecords();
@@ -599,7 +619,7 @@
       const byService = new Map(
         records.assignments.map((each) => [each.service, each]),
       );
-      t.deepEqual(byService.get("g"), GOOD_ASSIGNMENT);
+      t.deepEqual(byService.get("g"), VALID_ASSIGNMENT);
       if (value.length === 0) return;
       const other = byService.get("h")!;
       t.true(coversAllKeys(other.ranges));
@@ -613,7 +633,7 @@
   );
 });
 
-test("hostile records: one of megabytes is not parsed", (t) => {
+test("hostile records: a record of several megabytes is not parsed", (t) => {
   const long = Buffer.alloc(5_000_000, "[");
   t.throws(() => decodeServer("i-1", long), { message: /bytes/ });
   t.throws(() => decodeConfiguration(long), { message: /bytes/ });
@@ -623,30 +643,33 @@
   t.regex(fault.reason, /bytes/);
 });
 
-test("hostile terms: no term is claimed upon one that cannot be read", async (t) => {
-  const good = rawRecord(Buffer.from("service/g"), cborOf(GOOD_ASSIGNMENT));
-  const { store, client } = await storeWith(t, "keyed.ownership", [good]);
+test("hostile terms: an unreadable term record leaves the term unknown", async (t) => {
+  const good = rawRecord(
+    Buffer.from("service/g"),
+    encodeCbor(VALID_ASSIGNMENT),
+  );
+  const { store, client } = await startStoreWith(t, "keyed.ownership", [good]);
   const term = { term: 9, vm: "v" };
   await fc.assert(
-    fc.asyncProperty(hostileValue(term, cborOf), async (value) => {
+    fc.asyncProperty(hostileValue(term, encodeCbor), async (value) => {
       const record = rawRecord(Buffer.from("term"), value);
       await client.append("keyed.ownership", [record], {});
       const { records, isTermKnown, faults } = await store.readRecords();
-      t.deepEqual(records.assignments, [GOOD_ASSIGNMENT]);
+      t.deepEqual(records.assignments, [VALID_ASSIGNMENT]);
       t.is(isTermKnown, faults.length === 0);
     }),
     { numRuns: 150, seed: 6 },
   );
 });
 
-test("hostile assignments: keys of a service whose record is lost are given out once all older grants have ended", async (t) => {
+test("hostile assignments: keys of an unreadable assignment are granted after all older grants have expired", async (t) => {
   const broken = rawRecord(Buffer.from("service/s"), Buffer.from("{"));
-  const { store } = await storeWith(t, "keyed.ownership", [broken]);
+  const { store } = await startStoreWith(t, "keyed.ownership", [broken]);
   const { records } = await store.readRecords();
   const timing = leaseTimingSchema.parse({});
   const fleet = Fleet.create();
   fleet.apply(
-    [decodeServer("i-1", jsonOf({ ...GOOD_ENTRY, service: "s" }))],
+    [decodeServer("i-1", encodeJson({ ...VALID_ENTRY, service: "s" }))],
     [],
     0,
   );
@@ -677,7 +700,7 @@
   t.deepEqual(released, []);
 });
 
-test("store: of two operators who publish at once one is refused", async (t) => {
+test("store: one of two concurrent publications is rejected", async (t) => {
   const service = await startStore(t);
   const store = PlatformStore.create(service.address, "op", "op");
   t.teardown(() => store.close());
@@ -700,10 +723,10 @@
   t.not((await store.readConfiguration()).configuration, null);
 });
 
-// The way by which two servers came to hold keys with one token: a renewal meant
-// for a run that has ended was taken by the run that came up at its address, which
-// knew no token yet. Orders named keys and a token and no server.
-test("orders: a run that listens at another's address carries out none", async (t) => {
+// Guards against two servers that own keys with the same token. If an order names keys and
+// a token but no server, the renewal for a server that has ended is accepted by the server
+// that has replaced it at its address and has not seen a token yet.
+test("orders: a server rejects orders for a previous server at its address", async (t) => {
   const store = await startStore(t);
   const settings = backendServiceSchema.parse({
     id: "second-run",
@@ -726,19 +749,22 @@
     mayConnect: true,
   };
   const grant = { ...keys, kind: "order.grant", token: 5 } as const;
-  const more = { hold: 1_000, handover: null };
+  const terms = { hold: 1_000, handover: null };
   const release = { ...keys, kind: "order.release", token: 4 } as const;
   const kinds: string[] = [];
   for (const id of ["first-run", "second-run"]) {
-    const named = { server: id };
-    const granted = await orders.grant({ ...grant, ...more, ...named }, 500);
-    const released = await orders.release({ ...release, ...named }, 500);
+    const recipient = { server: id };
+    const granted = await orders.grant(
+      { ...grant, ...terms, ...recipient },
+      500,
+    );
+    const released = await orders.release({ ...release, ...recipient }, 500);
     kinds.push(granted.kind, released.kind);
   }
   t.deepEqual(kinds, ["misdirected", "misdirected", "accepted", "accepted"]);
 });
 
-test("orders: one that may open no connection goes over a kept one or not at all", async (t) => {
+test("orders: an order that may not connect uses an open connection or is withheld", async (t) => {
   const store = await startStore(t);
   const settings = backendServiceSchema.parse({
     id: "server",
@@ -771,7 +797,7 @@
   t.deepEqual(kinds, ["withheld", "accepted", "accepted"]);
 });
 
-test("quarantine: what was held back is read with its age, whoever's clock is ahead", (t) => {
+test("quarantine: a record is read with its age, even if the reader's clock is behind", (t) => {
   const record: CrashRecord = {
     request: "AbCdEfGhIjKlMnOp",
     target: "h.example/x",
--- a/test/rate_limited_server_test.ts
+++ b/test/rate_limited_server_test.ts
@@ -1,6 +1,8 @@
 /**
- * Runs real processes in which one backend server states a rate limit for all entries
+ * Runs real processes in which one backend server reports a rate limit for all entries
  * combined.
+ *
+ * @module
  */
 import test from "ava";
 import { setTimeout as delay } from "node:timers/promises";
@@ -8,20 +10,24 @@
 import { runLoad } from "../src/load/index.ts";
 import { Deployment, type Member } from "./support/deployment.ts";
 
-const LIMIT = 2;
+/** Requests per second that the server permits. */
+const RATE_LIMIT = 2;
+/** Window in which requests are counted, in milliseconds. */
 const WINDOW = 4_000;
 /** Maximum requests per window that the specification of the limit permits. */
-const ALLOWED = 1.5 * LIMIT * WINDOW / 1_000 + 5;
-/** Begin and end of the limit, and length of the load, in milliseconds from its start. */
+const MAXIMUM_IN_WINDOW = 1.5 * RATE_LIMIT * WINDOW / 1_000 + 5;
+/** Start and end of the limit, in milliseconds after the start of the load. */
 const LIMITED_FROM = 3_000;
 const LIMITED_UNTIL = 13_000;
-const LENGTH = 20_000;
-/** Time allowed for entries to apply a new limit and to learn of its end. */
-const NOTICE_TIME = 3_000;
-/** Time allowed for keys to move to other servers once entries apply the limit. */
+/** Duration of the load, in milliseconds. */
+const LOAD_DURATION = 20_000;
+/** Time for entries to apply a new limit and to detect its end, in milliseconds. */
+const PROPAGATION_TIME = 3_000;
+/** Time for keys to move to other servers once entries apply the limit, in milliseconds. */
 const MOVE_TIME = 2_000;
 
-function mostInWindow(runs: readonly Run[]): number {
+/** Returns the maximum number of runs in any window. */
+function maximumInWindow(runs: readonly Run[]): number {
   const counts = runs.map(({ startedAt: from }) =>
     runs.filter(({ startedAt }) =>
       startedAt >= from && startedAt < from + WINDOW
@@ -32,7 +38,7 @@
 
 /**
  * Returns the server of `service` that has run the most requests. A slower server may
- * get no requests without keys, and would then never state its limit.
+ * get no requests without keys, and would then never report its limit.
  */
 function busiestServer(deployment: Deployment, service: string): Member {
   const servers = deployment.servers.filter(({ name }) =>
@@ -47,31 +53,36 @@
 }
 
 for (const service of ["stock", "orders"] as const) {
-  test.serial(`a server of ${service} that limits its requests gets no more from all entries, and as many again after`, async (t) => {
+  test.serial(`all entries together respect the rate limit of a ${service} server, and serve all requests after it`, async (t) => {
     const deployment = await Deployment.start({ entries: 4, servers: 4 });
     t.teardown(() => deployment.stop());
     const startedAt = Date.now();
     const load = runLoad(deployment.plan(service, {
       callers: 8,
       pause: 60,
-      seconds: LENGTH / 1_000,
+      seconds: LOAD_DURATION / 1_000,
     }));
     await delay(LIMITED_FROM);
     const limited = busiestServer(deployment, service);
-    await deployment.setFaults(limited.address, { rateLimit: String(LIMIT) });
+    await deployment.setFaults(limited.address, {
+      rateLimit: String(RATE_LIMIT),
+    });
     await delay(LIMITED_UNTIL - LIMITED_FROM);
     await deployment.setFaults(limited.address, { rateLimit: null });
     const { calls } = await load;
-    const limitedFrom = startedAt + LIMITED_FROM + NOTICE_TIME;
+    const limitedFrom = startedAt + LIMITED_FROM + PROPAGATION_TIME;
     const limitedUntil = startedAt + LIMITED_UNTIL;
     const runs = deployment.runs(limited).filter((each) =>
       each.startedAt >= limitedFrom && each.startedAt < limitedUntil
     );
-    t.log({ runs: runs.length, most: mostInWindow(runs) });
-    t.true(mostInWindow(runs) <= ALLOWED, `${mostInWindow(runs)} requests`);
+    t.log({ runs: runs.length, most: maximumInWindow(runs) });
+    t.true(
+      maximumInWindow(runs) <= MAXIMUM_IN_WINDOW,
+      `${maximumInWindow(runs)} requests`,
+    );
     t.true(runs.length > 0);
     const after = calls.filter((each) =>
-      each.startedAt >= limitedUntil + NOTICE_TIME
+      each.startedAt >= limitedUntil + PROPAGATION_TIME
     );
     t.true(servedShare(after) > 0.98, `${servedShare(after)} served after`);
     // Requests without keys go to the other servers at once; keys take time to move.
--- a/test/serve_signals_test.ts
+++ b/test/serve_signals_test.ts
@@ -1,7 +1,7 @@
 /**
- * Signals come at any moment, also while a process starts. Without a listener the
- * system's default for them ends it at once, with the connections that it accepts
- * already: a change of the settings must not, and a stop is to go in order.
+ * Guards against signals that terminate a starting process. A signal without a listener
+ * terminates the process at once, with all connections that it has already accepted.
+ * SIGHUP must reload the settings, and SIGTERM must start a graceful shutdown.
  *
  * @module
  */
@@ -15,13 +15,13 @@
 import { parseAddress } from "../src/settings/index.ts";
 import { loopbackAddress } from "./support/loopback_address.ts";
 
-/** Longest time of a start, in milliseconds. */
-const PATIENCE = 20_000;
-/** Time in which a signal would have ended the process, in milliseconds. */
-const PAUSE = 1_000;
+/** Maximum time until a process accepts connections, in milliseconds. */
+const START_TIMEOUT = 20_000;
+/** Time after which a signal would have terminated the process, in milliseconds. */
+const SIGNAL_WAIT = 1_000;
 
-/** Starts a process; resolves when its first caller's connection is accepted. */
-async function startUntilAccepting(t: ExecutionContext) {
+/** Starts a process; resolves as soon as it accepts the connection of a caller. */
+async function startAcceptingProcess(t: ExecutionContext) {
   const folder = mkdtempSync(join(tmpdir(), "plumloft-"));
   const file = join(folder, "settings.yaml");
   const listen = loopbackAddress();
@@ -39,13 +39,13 @@
     ].join("\n"),
   );
   const command = ["--import=tsx", "src/main.ts", "serve", "--settings", file];
-  const process_ = spawn(process.execPath, command, { stdio: "ignore" });
-  t.teardown(() => process_.kill("SIGKILL"));
-  const end = Date.now() + PATIENCE;
+  const child = spawn(process.execPath, command, { stdio: "ignore" });
+  t.teardown(() => child.kill("SIGKILL"));
+  const end = Date.now() + START_TIMEOUT;
   while (!(await isAccepting(listen))) {
-    if (Date.now() > end) throw new Error("it never listened");
+    if (Date.now() > end) throw new Error("the process accepts no connection");
   }
-  return process_;
+  return child;
 }
 
 function isAccepting(address: string): Promise<boolean> {
@@ -60,21 +60,21 @@
   });
 }
 
-/** How a process ended, or null while it lives. */
-function endOf({ exitCode, signalCode }: ChildProcess) {
+/** Returns the exit code or signal of a process, or null while it runs. */
+function exitOf({ exitCode, signalCode }: ChildProcess) {
   return exitCode ?? signalCode;
 }
 
-test.serial("signals: a change of the settings during the start does not end it", async (t) => {
-  const started = await startUntilAccepting(t);
-  started.kill("SIGHUP");
-  await delay(PAUSE);
-  t.is(endOf(started), null);
+test.serial("signals: SIGHUP during the start does not terminate the process", async (t) => {
+  const child = await startAcceptingProcess(t);
+  child.kill("SIGHUP");
+  await delay(SIGNAL_WAIT);
+  t.is(exitOf(child), null);
 });
 
-test.serial("signals: a stop during the start goes in order", async (t) => {
-  const started = await startUntilAccepting(t);
-  started.kill("SIGTERM");
-  await delay(2 * PAUSE);
-  t.is(endOf(started), 0);
+test.serial("signals: SIGTERM during the start shuts the process down gracefully", async (t) => {
+  const child = await startAcceptingProcess(t);
+  child.kill("SIGTERM");
+  await delay(2 * SIGNAL_WAIT);
+  t.is(exitOf(child), 0);
 });
--- a/test/soak/soak_plan.ts
+++ b/test/soak/soak_plan.ts
@@ -39,7 +39,7 @@
 /** Failures that extended plans add to the plan of a seed. */
 export const EXTENDED_FAULTS = [
   /** A caller repeatedly sends a request that crashes each server that runs it. */
-  "request.ending",
+  "request.crashing",
   /** The machine of an entry is suspended, so its monotonic clock stops. */
   "entry.suspend",
 ] as const;
--- a/test/soak/soak_run.ts
+++ b/test/soak/soak_run.ts
@@ -116,15 +116,18 @@
     const calls = await load;
     await Promise.all(this.#activeFaults);
     await this.#waitUntilRecovered();
-    const last = await this.#runLoad(FINAL_CALLS, RECOVERY_TIMEOUT / 1_000);
+    const finalCalls = await this.#runLoad(
+      FINAL_CALLS,
+      RECOVERY_TIMEOUT / 1_000,
+    );
     this.#isFinished = true;
     await monitoring;
-    this.#check(calls, last);
+    this.#check(calls, finalCalls);
     return {
       seed: plan.seed,
       faults: plan.faults.length,
-      calls: calls.length + last.length,
-      served: [...calls, ...last].filter(isServed).length,
+      calls: calls.length + finalCalls.length,
+      served: [...calls, ...finalCalls].filter(isServed).length,
       breaches: this.#breaches,
       folder: deployment.folder,
     };
@@ -159,7 +162,7 @@
   }
 
   async #checkEntry(entry: Member): Promise<void> {
-    const run = `${entry.name}/${entry.process.pid}`;
+    const processName = `${entry.name}/${entry.process.pid}`;
     const signal = AbortSignal.timeout(CHECK_INTERVAL);
     const isReady = await request(`http://${entry.readiness}/-/readyz`, {
       signal,
@@ -174,11 +177,13 @@
     const status = isReady ? await this.#deployment.status(entry) : null;
     if (status === null) return;
     const { version } = status.configuration;
-    const previous = this.#configurationVersions.get(run) ?? -1;
+    const previous = this.#configurationVersions.get(processName) ?? -1;
     if (version < previous) {
-      this.#breaches.push(`${run} went from version ${previous} to ${version}`);
+      this.#breaches.push(
+        `${processName} went from version ${previous} to ${version}`,
+      );
     }
-    this.#configurationVersions.set(run, version);
+    this.#configurationVersions.set(processName, version);
   }
 
   #createLink(name: string, to: string): string {
@@ -224,14 +229,17 @@
   }
 
   /**
-   * Skips `act` while another fault is active for the process. A paused process, for
+   * Skips `injectFault` while another fault is active for the process. A paused process, for
    * example, does not handle requests that set faults.
    */
-  async #exclusively(member: Member, act: () => Promise<void>): Promise<void> {
-    if (this.#faultyProcesses.has(member)) return;
-    this.#faultyProcesses.add(member);
-    await act();
-    this.#faultyProcesses.delete(member);
+  async #exclusively(
+    target: Member,
+    injectFault: () => Promise<void>,
+  ): Promise<void> {
+    if (this.#faultyProcesses.has(target)) return;
+    this.#faultyProcesses.add(target);
+    await injectFault();
+    this.#faultyProcesses.delete(target);
   }
 
   async #injectEntryFault(
@@ -319,8 +327,8 @@
   }
 
   /**
-   * Replaces servers that were killed by a signal. A crashing request may have been queued
-   * for a long time at a paused entry, so that its server crashes after its sender ended.
+   * Replaces servers that were killed by a signal. Servers may also crash after a crashing
+   * request is no longer sent, because a paused entry may have queued copies of it.
    */
   #replaceCrashed(): void {
     for (const server of this.#deployment.servers) {
@@ -399,17 +407,20 @@
     this.#breaches.push(`${entry.name} has not recovered: ${text}`);
   }
 
-  #check(calls: Call[], last: Call[]): void {
-    const members = [...this.#deployment.servers, ...this.#terminatedServers];
-    const runs = members.flatMap((each) => this.#deployment.runs(each));
-    const history = { calls: [...calls, ...last], runs: asIdempotent(runs) };
+  #check(calls: Call[], finalCalls: Call[]): void {
+    const servers = [...this.#deployment.servers, ...this.#terminatedServers];
+    const runs = servers.flatMap((each) => this.#deployment.runs(each));
+    const history = {
+      calls: [...calls, ...finalCalls],
+      runs: asIdempotent(runs),
+    };
     for (const { name, breaches } of checkHistory(history)) {
       for (const each of breaches) this.#breaches.push(`${name}: ${each}`);
     }
-    const unserved = last.filter((call) => !isServed(call));
-    if (unserved.length > last.length * (1 - FINAL_SHARE)) {
+    const unserved = finalCalls.filter((call) => !isServed(call));
+    if (unserved.length > finalCalls.length * (1 - FINAL_SHARE)) {
       this.#breaches.push(
-        `after all faults ${unserved.length} of ${last.length} requests were not served`,
+        `after all faults ${unserved.length} of ${finalCalls.length} requests were not served`,
       );
     }
     if (this.plan.isPlannedOnly) this.#checkPlannedRun(calls, runs);
@@ -438,7 +449,7 @@
   variant: number,
 ): Promise<void> {
   const headers = PlatformHeaders.create().forCaller({
-    id: `crash-${randomUUID()}`,
+    id: `ends-${randomUUID()}`,
     timeout: 2_000,
     key: variant * 1_000,
   });
--- a/test/support/backend_server.ts
+++ b/test/support/backend_server.ts
@@ -5,10 +5,10 @@
  */
 import type { BackendServer } from "../../src/core/fleet/index.ts";
 
-/** Returns the registry entry of server `id`; `change` overrides the defaults. */
+/** Returns the registry entry of server `id`; `overrides` replaces the defaults. */
 export function backendServer(
   id: string,
-  change: Partial<BackendServer> = {},
+  overrides: Partial<BackendServer> = {},
 ): BackendServer {
   return {
     id,
@@ -19,6 +19,6 @@
     slots: 3,
     isDraining: false,
     warmUp: 0,
-    ...change,
+    ...overrides,
   };
 }
--- a/test/support/bundled_program.ts
+++ b/test/support/bundled_program.ts
@@ -13,8 +13,8 @@
 /** A change of one line of the program that breaks a guarantee. */
 interface Mutation {
   file: string;
-  original: string;
-  mutated: string;
+  from: string;
+  to: string;
 }
 
 /** Mutations of the program, by name. */
@@ -22,14 +22,14 @@
   /** Retries non-idempotent requests whose response was lost. */
   second_try: {
     file: "src/core/dispatch/outcome_review.ts",
-    original: "return request.route.isIdempotent\n    ?",
-    mutated: "return request.mayHaveRun\n    ?",
+    from: "return request.route.isIdempotent\n    ?",
+    to: "return request.mayHaveRun\n    ?",
   },
   /** Reassigns the keys of an unresponsive server without waiting for its lease. */
   no_wait: {
     file: "src/core/keyspace/term_holder.ts",
-    original: "if (now >= this.#orders.heldUntil(range)) {",
-    mutated: "if (now >= 0) {",
+    from: "if (now >= this.#orders.heldUntil(range)) {",
+    to: "if (now >= 0) {",
   },
 } satisfies Record<string, Mutation>;
 
@@ -56,12 +56,10 @@
   return file;
 }
 
-function mutationPlugin(
-  { file, original: sound, mutated: weak }: Mutation,
-): Plugin {
+function mutationPlugin({ file, from, to }: Mutation): Plugin {
   const text = readFileSync(file, "utf8");
-  if (!text.includes(sound)) throw new Error(`${file} has no line "${sound}"`);
-  const contents = text.replace(sound, weak);
+  if (!text.includes(from)) throw new Error(`${file} has no line "${from}"`);
+  const contents = text.replace(from, to);
   const name = file.split("/").at(-1)!.replace(".", "\\.");
   return {
     name: "mutation",
--- a/test/support/bundled_program_test.ts
+++ b/test/support/bundled_program_test.ts
@@ -8,9 +8,9 @@
 import test from "ava";
 import { MUTATIONS } from "./bundled_program.ts";
 
-for (const [name, { file, original, mutated }] of Object.entries(MUTATIONS)) {
+for (const [name, { file, from, to }] of Object.entries(MUTATIONS)) {
   test(`mutations: ${name} changes exactly one place of the program`, (t) => {
-    t.is(readFileSync(file, "utf8").split(original).length, 2);
-    t.not(original, mutated);
+    t.is(readFileSync(file, "utf8").split(from).length, 2);
+    t.not(from, to);
   });
 }
--- a/test/support/deployment.ts
+++ b/test/support/deployment.ts
@@ -178,7 +178,7 @@
    * Returns a load plan for `service` through all entries. Requests to `stock` use
    * 200 keys.
    */
-  plan(service: "stock" | "orders", change: Partial<LoadPlan>): LoadPlan {
+  plan(service: "stock" | "orders", overrides: Partial<LoadPlan>): LoadPlan {
     return {
       targets: this.entries.map((entry) => entry.address),
       codec: PlatformHeaders.create(),
@@ -193,7 +193,7 @@
       seconds: 60,
       callers: 6,
       pause: 0,
-      ...change,
+      ...overrides,
     };
   }
 
@@ -310,9 +310,9 @@
   }
 
   /** Restarts a process that has ended, with its previous settings. */
-  restart(member: Member): void {
-    const { command, settingsFile, logFile } = member;
-    member.process = this.#start(command, settingsFile, logFile);
+  restart(target: Member): void {
+    const { command, settingsFile, logFile } = target;
+    target.process = this.#start(command, settingsFile, logFile);
   }
 
   /** Publishes the configuration of the test as version `version`. */
--- a/test/support/stepped_entry.ts
+++ b/test/support/stepped_entry.ts
@@ -23,13 +23,13 @@
 };
 
 /**
- * Creates a core that has not received any event yet. `change` overrides the default
+ * Creates a core that has not received any event yet. `overrides` replaces default
  * options.
  */
-export function createSteppedEntry(change: Partial<EntryOptions> = {}) {
-  const entry = Entry.create({ ...OPTIONS, ...change });
+export function createSteppedEntry(overrides: Partial<EntryOptions> = {}) {
+  const entry = Entry.create({ ...OPTIONS, ...overrides });
   /** Processes an event at time `now`, in milliseconds, and returns the effects. */
-  const step = (now: number, occurrence: Occurrence): EntryEffect[] =>
-    entry.step({ ...occurrence, now });
+  const step = (now: number, event: Occurrence): EntryEffect[] =>
+    entry.step({ ...event, now });
   return { entry, step };
 }
--- a/test/vary_site_test.ts
+++ b/test/vary_site_test.ts
@@ -21,7 +21,7 @@
 ]
 `;
 
-test("sites: a variant changes what it names and nothing else", (t) => {
+test("sites: a variant changes only the named properties", (t) => {
   t.snapshot(varySite(SITE, {
     zones: 1,
     vms: 0.3,
@@ -47,7 +47,7 @@
   );
 });
 
-test("sites: seeds reach every value of each change", (t) => {
+test("sites: seeds produce every value of each property", (t) => {
   const variants = Array.from({ length: 60 }, (_, seed) => variantOf(seed));
   const values = (of: (each: typeof variants[number]) => unknown) =>
     new Set(variants.map(of)).size;
