--- a/test/support/backend_server.ts
+++ b/test/support/backend_server.ts
@@ -1,14 +1,14 @@
 /**
- * Entries of backend servers, for tests in which most of their fields are alike.
+ * Creates registry entries of backend servers with default values for tests.
  *
  * @module
  */
 import type { BackendServer } from "../../src/core/fleet/index.ts";
 
-/** The entry of a server `id`, but for what `change` says. */
+/** Returns the registry entry of server `id`; `overrides` replaces the defaults. */
 export function backendServer(
   id: string,
-  change: Partial<BackendServer> = {},
+  overrides: Partial<BackendServer> = {},
 ): BackendServer {
   return {
     id,
@@ -19,6 +19,6 @@
     slots: 3,
     isDraining: false,
     warmUp: 0,
-    ...change,
+    ...overrides,
   };
 }
--- a/test/support/small_link.ts
+++ b/test/support/small_link.ts
@@ -1,6 +1,6 @@
 /**
- * A link of a small VM: passes connections on to an address, and all that comes
- * back over them together no faster than so many bytes a second.
+ * A TCP proxy that limits the download bandwidth like the network link of a small VM.
+ * All connections share the limit. Uploads are not limited.
  *
  * @module
  */
@@ -9,48 +9,51 @@
 import type { ExecutionContext } from "ava";
 import { parseAddress } from "../../src/settings/index.ts";
 
-/** Pause between two portions, in milliseconds. */
-const TICK = 10;
+/** Time between two writes to clients, in milliseconds. */
+const SEND_INTERVAL = 10;
 
-/** Bytes that wait for the link, by connection. */
-interface Waiting {
+/** Bytes that are queued for a client connection. */
+interface QueuedBytes {
   socket: Socket;
   bytes: Buffer;
 }
 
-/** Opens one to `target`; resolves to the address that leads there. */
-export async function openSmallLink(
+/**
+ * Starts a proxy to `target` and returns its address. The proxy is closed when the test
+ * ends.
+ */
+export async function openThrottledLink(
   t: ExecutionContext,
   target: string,
   bytesPerSecond: number,
 ): Promise<string> {
   const sockets = new Set<Socket>();
-  let waiting: Waiting[] = [];
-  const server = createServer((near) => {
+  let queue: QueuedBytes[] = [];
+  const server = createServer((client) => {
     const { host, port } = parseAddress(target);
-    const far = connect(port, host);
-    sockets.add(near).add(far);
-    for (const [one, other] of [[near, far], [far, near]]) {
+    const upstream = connect(port, host);
+    sockets.add(client).add(upstream);
+    for (const [one, other] of [[client, upstream], [upstream, client]]) {
       one.on("error", () => other.destroy());
       one.on("close", () => {
         sockets.delete(one);
         other.destroy();
       });
     }
-    near.on("data", (bytes) => far.write(bytes));
-    far.on("data", (bytes) => waiting.push({ socket: near, bytes }));
+    client.on("data", (bytes) => upstream.write(bytes));
+    upstream.on("data", (bytes) => queue.push({ socket: client, bytes }));
   });
   const timer = setInterval(() => {
-    let left = bytesPerSecond * TICK / 1_000;
-    while (left > 0 && waiting.length > 0) {
-      const [{ socket, bytes }] = waiting;
-      if (!socket.destroyed) socket.write(bytes.subarray(0, left));
-      waiting[0].bytes = bytes.subarray(left);
-      if (waiting[0].bytes.length === 0 || socket.destroyed) waiting.shift();
-      left -= Math.min(left, bytes.length);
+    let budget = bytesPerSecond * SEND_INTERVAL / 1_000;
+    while (budget > 0 && queue.length > 0) {
+      const [{ socket, bytes }] = queue;
+      if (!socket.destroyed) socket.write(bytes.subarray(0, budget));
+      queue[0].bytes = bytes.subarray(budget);
+      if (queue[0].bytes.length === 0 || socket.destroyed) queue.shift();
+      budget -= Math.min(budget, bytes.length);
     }
-    waiting = waiting.filter(({ socket }) => !socket.destroyed);
-  }, TICK);
+    queue = queue.filter(({ socket }) => !socket.destroyed);
+  }, SEND_INTERVAL);
   t.teardown(() => {
     clearInterval(timer);
     server.close();
