--- a/src/core/beliefs.ts
+++ b/src/core/beliefs.ts
@@ -168,7 +168,7 @@
    * not follow on the known version is dropped, and the assignment is requested again. */
   changeAssignments(changes: readonly Assignment[], since: number): void {
     for (const change of changes) {
-      if (!this.directory.change(change, since)) continue;
+      if (!this.directory.applyChanges(change, since)) continue;
       if (change.ranges.length === 0) continue;
       this.note("assignment.changed", {
         service: change.service,
--- a/src/core/dispatch/dispatch_planner.ts
+++ b/src/core/dispatch/dispatch_planner.ts
@@ -181,7 +181,7 @@
   ): number {
     const { fleet, keyLimits } = this.context;
     if (server !== null && fleet.get(server)?.isLoadKnown(now)) return 1;
-    return keyLimits.share(service, key, now);
+    return keyLimits.admittedShare(service, key, now);
   }
 
   #planKeyed(request: PendingRequest, key: number, now: number): DispatchPlan {
--- a/src/core/dispatch/dispatcher_test.ts
+++ b/src/core/dispatch/dispatcher_test.ts
@@ -615,14 +615,14 @@
 test("dispatch: requests for an overloaded key are shed immediately with a long retry delay", (t) => {
   const { arrive, keyLimits } = createDispatcher(200, () => 0.5);
   const limit = { service: "stock", first: 0, last: 65_535 };
-  keyLimits.take([{ ...limit, share: 0.4 }], 0);
+  keyLimits.replace([{ ...limit, share: 0.4 }], 0);
   const [refusal] = summarize(arrive("/lookup/", 10));
   // 30% of the remaining time, less the jitter.
   t.is(
     refusal,
     "503, the key is asked for more than its server can do, come back 255",
   );
-  keyLimits.take([{ ...limit, share: 0.6 }], 20);
+  keyLimits.replace([{ ...limit, share: 0.6 }], 20);
   t.deepEqual(summarize(arrive("/lookup/", 30)), [
     "start stock-1, 500 ms left",
   ]);
@@ -636,7 +636,7 @@
   const load = { running: 0, waiting: 0, slots: 1 };
   dispatcher.ended(1, { ...ANSWERED, load }, 50);
   const limit = { service: "stock", first: 0, last: 65_535, share: 0.1 };
-  keyLimits.take([limit], 60);
+  keyLimits.replace([limit], 60);
   t.deepEqual(summarize(arrive("/lookup/", 100)), [
     "start stock-1, 500 ms left",
   ]);
--- a/src/core/entry.ts
+++ b/src/core/entry.ts
@@ -157,7 +157,7 @@
   /** Maximum time between two steps, in milliseconds. */
   get #stepInterval(): number {
     const { holder, phase } = this.campaign;
-    if (holder?.isBehind) return ORDER_INTERVAL;
+    if (holder?.hasDeferredOrders) return ORDER_INTERVAL;
     return phase === "follower" ? IDLE_INTERVAL : HOLDER_INTERVAL;
   }
 
@@ -184,7 +184,7 @@
       case "quarantine.written":
         return this.#quarantineRecord.written(event.isDone, now);
       case "holder.read":
-        return this.campaign.holderRead();
+        return this.campaign.onHolderRead();
       case "holder.announced":
         return this.peers.follow(event.holder, now);
       case "peer.received": {
@@ -196,23 +196,23 @@
       case "store.failed":
         return this.#storeFailed(event.step, event.cause, now);
       case "group.joined":
-        return this.campaign.joined(event.membership, now);
+        return this.campaign.onJoined(event.membership, now);
       case "group.failed":
-        return this.campaign.joinFailed(now);
+        return this.campaign.onJoinFailed(now);
       case "term.read":
-        return this.#emit(...this.campaign.read(event.records, now));
+        return this.#emit(...this.campaign.onRecordsRead(event.records, now));
       case "term.claimed": {
         const { term, outcome } = event;
         this.beliefs.note("term.claimed", { term, outcome });
-        return this.#termClaimed(this.campaign.claimed(term, outcome, now));
+        return this.#termClaimed(this.campaign.onClaimed(term, outcome, now));
       }
       case "assignments.written": {
         const { term, outcome } = event;
-        return this.#emit(...this.campaign.written(term, outcome, now));
+        return this.#emit(...this.campaign.onWritten(term, outcome, now));
       }
       case "order.ended":
         return this.#emit(
-          ...this.campaign.ordered(event.order, event.outcome, now),
+          ...this.campaign.onOrderEnded(event.order, event.outcome, now),
         );
       case "request.arrived":
         if (this.#shutdown.isRejectingRequests(now)) {
@@ -344,7 +344,7 @@
     this.beliefs.note("clock.jumped", detail);
     this.peers.followerLink.outdated();
     if (isCertain) return;
-    this.campaign.doubtTime();
+    this.campaign.onClockJumped();
     this.dispatcher.doubtTime(gap);
   }
 
--- a/src/core/entry_event.ts
+++ b/src/core/entry_event.ts
@@ -10,7 +10,7 @@
   Assignment,
   Membership,
   OrderOutcome,
-  Records,
+  TermRecords,
   WriteOutcome,
 } from "./keyspace/index.ts";
 import type { EvacuationRead } from "./fleet/index.ts";
@@ -50,7 +50,7 @@
   | { kind: "store.failed"; step: string; cause: string }
   | { kind: "group.joined"; membership: Membership }
   | { kind: "group.failed" }
-  | { kind: "term.read"; records: Records | null }
+  | { kind: "term.read"; records: TermRecords | null }
   | { kind: "term.claimed"; term: number; outcome: WriteOutcome }
   | { kind: "assignments.written"; term: number; outcome: WriteOutcome }
   | { kind: "order.ended"; order: number; outcome: OrderOutcome }
--- a/src/core/exchange/crowding_watch.ts
+++ b/src/core/exchange/crowding_watch.ts
@@ -10,7 +10,7 @@
   DEMAND_WINDOW,
   type KeyLimit,
   type KeyLoads,
-  limitsOf,
+  computeKeyLimits,
   type TermHolder,
 } from "../keyspace/index.ts";
 import { MAXIMUM_RATES, type OverloadState } from "../peers/index.ts";
@@ -51,16 +51,16 @@
     const { catalog, fleet, keyLimits } = this.clusterState;
     const services = catalog.keyedServices.map(({ name }) => name);
     const limits = services.flatMap((service) => {
-      const keys = this.loads.of(service).newest(DEMAND_WINDOW, now);
+      const keys = this.loads.of(service).recentKeys(DEMAND_WINDOW, now);
       const ranges = holder.ranges(service);
-      return limitsOf(service, ranges, keys, DEMAND_WINDOW, fleet, now);
+      return computeKeyLimits(service, ranges, keys, DEMAND_WINDOW, fleet, now);
     });
     const loads = services.flatMap((service) => this.#fullServers(service, now))
       .slice(0, MAXIMUM_LOADS);
     this.#logChanges(limits);
     const rates = fleet.statedRates(now).slice(0, MAXIMUM_RATES);
     this.#current = { limits, loads, rates };
-    keyLimits.take(limits, now);
+    keyLimits.replace(limits, now);
   }
 
   /** Logs each range whose limit begins or ends. */
--- a/src/core/exchange/peer_exchange.ts
+++ b/src/core/exchange/peer_exchange.ts
@@ -164,7 +164,7 @@
     this.tokens.follow(address, now);
     const chance = this.draw();
     this.followerLink.follow(isOwn ? null : address, this.vms, chance, now);
-    this.campaign.hearFitness(fitness, now);
+    this.campaign.observeFitness(fitness, now);
   }
 
   /** Handles a message from the VM at `address`. */
@@ -244,7 +244,7 @@
       (each.term > term || each.version > version)
     );
     if (holder === null || !hasNewer) return;
-    this.campaign.hearFitness(holder.fitness, now);
+    this.campaign.observeFitness(holder.fitness, now);
   }
 
   /**
@@ -379,7 +379,7 @@
   ): void {
     if (address === this.followerLink.holder) this.followerLink.received(now);
     this.#vmCount.observe(vms, now);
-    this.campaign.hearFitness(fittest, now);
+    this.campaign.observeFitness(fittest, now);
   }
 
   #handleAnswer(
@@ -405,7 +405,7 @@
     now: number,
   ): void {
     if (address !== this.followerLink.holder) return;
-    this.clusterState.keyLimits.take(limits, now);
+    this.clusterState.keyLimits.replace(limits, now);
     this.clusterState.fleet.hearLoads(loads, now);
     this.clusterState.hearRates(rates ?? [], now);
     this.tokens.holderAnswered(rates !== undefined);
@@ -441,7 +441,7 @@
    * only while this VM cannot reach the store either: a holder that alone is
    * disconnected must not keep other VMs from being elected. */
   #applyLiveness({ fitness }: HolderAddress, now: number): void {
-    if (this.store.isLost) this.campaign.hearFitness(fitness, now);
+    if (this.store.isLost) this.campaign.observeFitness(fitness, now);
   }
 
   #handleTermTaken(
@@ -465,7 +465,7 @@
     now: number,
   ): void {
     const { holder } = this.campaign;
-    if (holder?.term === toTerm) holder.relieve(exposures, now);
+    if (holder?.term === toTerm) holder.applyOutstandingLeases(exposures, now);
   }
 
   #send(address: string, message: PeerMessage): void {
--- a/src/core/exchange/term_publication.ts
+++ b/src/core/exchange/term_publication.ts
@@ -113,7 +113,7 @@
     }
     this.#recordLatencies(report, now);
     this.clusterState.hearRates(report.rates ?? [], now);
-    this.campaign.hearFitness(report.fitness, now);
+    this.campaign.observeFitness(report.fitness, now);
     this.#link.reportReceived(address, report.isTold ?? false, now);
     const registryChanges = this.#registryChanges(report, now);
     this.emit(
--- a/src/core/exchange/term_publication_test.ts
+++ b/src/core/exchange/term_publication_test.ts
@@ -58,9 +58,9 @@
   /** Advances the holder to `now`; all its orders and writes succeed. */
   const advanceHolder = (now: number) => {
     for (const effect of holder.advance(["s"], now, Infinity, 0, true)) {
-      if (effect.kind === "assignments.write") holder.record.written();
+      if (effect.kind === "assignments.write") holder.record.confirm();
       else if ("order" in effect) {
-        holder.ordered(effect.order, { kind: "accepted", handover: null }, now);
+        holder.onOrderEnded(effect.order, { kind: "accepted", handover: null }, now);
       }
     }
   };
--- a/src/core/keyspace/key_directory.ts
+++ b/src/core/keyspace/key_directory.ts
@@ -36,7 +36,7 @@
    * another version is known, to which they do not apply. For an unknown
    * service the changes have to contain all keys.
    */
-  change(changes: Assignment, since: number): boolean {
+  applyChanges(changes: Assignment, since: number): boolean {
     const known = this.#assignments.get(changes.service);
     if (known === undefined && coversAllKeys(changes.ranges)) {
       return this.apply(changes);
--- a/src/core/keyspace/key_directory_test.ts
+++ b/src/core/keyspace/key_directory_test.ts
@@ -33,7 +33,7 @@
           const since = version;
           version += 1;
           const changes = table.changesSince(publishedRevision, 1, version);
-          t.true(directory.change(changes, since));
+          t.true(directory.applyChanges(changes, since));
           publishedRevision = table.revision;
           const { ranges } = directory.assignments[0];
           if (!coversAllKeys(ranges)) throw new Error("keys are missing");
@@ -57,16 +57,16 @@
   const table = RangeTable.create("s");
   const directory = KeyDirectory.create();
   const changes = table.changesSince(table.revision, 1, 3);
-  t.false(directory.change(changes, 2));
+  t.false(directory.applyChanges(changes, 2));
   directory.apply(table.snapshot(1, 1));
-  t.false(directory.change(changes, 2));
-  t.true(directory.change(changes, 1));
+  t.false(directory.applyChanges(changes, 2));
+  t.true(directory.applyChanges(changes, 1));
   t.is(directory.position.version, 3);
 });
 
 test("key directory: a new service is added by changes that contain all its keys", (t) => {
   const table = RangeTable.create("s");
   const directory = KeyDirectory.create();
-  t.true(directory.change(table.changesSince(-1, 1, 3), 2));
+  t.true(directory.applyChanges(table.changesSince(-1, 1, 3), 2));
   t.true(coversAllKeys(directory.assignments[0].ranges));
 });
--- a/src/core/keyspace/key_limits.ts
+++ b/src/core/keyspace/key_limits.ts
@@ -76,7 +76,7 @@
  * of their servers. `keys` are those of all requests in the last `window`
  * milliseconds, in ascending order.
  */
-export function limitsOf(
+export function computeKeyLimits(
   service: string,
   ranges: readonly HeldRange[],
   keys: readonly number[],
@@ -139,7 +139,7 @@
   }
 
   /** Replaces all limits by those that the term holder has sent. */
-  take(limits: readonly KeyLimit[], now: number): void {
+  replace(limits: readonly KeyLimit[], now: number): void {
     this.#limits = limits;
     this.#receivedAt = now;
   }
@@ -150,7 +150,7 @@
   }
 
   /** Returns the share of the requests for `key` that is admitted. */
-  share(service: string, key: number, now: number): number {
+  admittedShare(service: string, key: number, now: number): number {
     if (this.age(now) > LIMIT_LIFETIME) return 1;
     const limit = this.#limits.find((each) =>
       each.service === service && each.first <= key && key <= each.last
--- a/src/core/keyspace/key_limits_test.ts
+++ b/src/core/keyspace/key_limits_test.ts
@@ -7,7 +7,7 @@
 import { backendServer } from "../../../test/support/backend_server.ts";
 import { Fleet } from "../fleet/index.ts";
 import { vacantRange } from "./held_range.ts";
-import { KeyLimits, limitsOf } from "./key_limits.ts";
+import { KeyLimits, computeKeyLimits } from "./key_limits.ts";
 
 const WINDOW = 1_000;
 /** Requests a second that a server can answer here: two slots, 100 ms each. */
@@ -39,7 +39,7 @@
   const keys = Object.entries(counts).flatMap(([key, count]) =>
     Array.from({ length: count }, () => Number(key))
   );
-  return limitsOf("s", heldRanges, keys, WINDOW, fleet, 0);
+  return computeKeyLimits("s", heldRanges, keys, WINDOW, fleet, 0);
 }
 
 test("key limits: there are none while capacity covers demand", (t) => {
@@ -68,14 +68,14 @@
 
 test("key limits: they apply to their keys and expire without updates", (t) => {
   const keyLimits = KeyLimits.create();
-  keyLimits.take([{ service: "s", first: 10, last: 19, share: 0.25 }], 1_000);
+  keyLimits.replace([{ service: "s", first: 10, last: 19, share: 0.25 }], 1_000);
   t.deepEqual(
-    [9, 10, 19, 20].map((key) => keyLimits.share("s", key, 1_100)),
+    [9, 10, 19, 20].map((key) => keyLimits.admittedShare("s", key, 1_100)),
     [1, 0.25, 0.25, 1],
   );
-  t.is(keyLimits.share("other", 10, 1_100), 1);
-  t.is(keyLimits.share("s", 10, 2_200), 0.25);
-  t.is(keyLimits.share("s", 10, 2_201), 1);
-  keyLimits.take([], 2_300);
-  t.is(keyLimits.share("s", 10, 2_300), 1);
+  t.is(keyLimits.admittedShare("other", 10, 1_100), 1);
+  t.is(keyLimits.admittedShare("s", 10, 2_200), 0.25);
+  t.is(keyLimits.admittedShare("s", 10, 2_201), 1);
+  keyLimits.replace([], 2_300);
+  t.is(keyLimits.admittedShare("s", 10, 2_300), 1);
 });
--- a/src/core/keyspace/key_load.ts
+++ b/src/core/keyspace/key_load.ts
@@ -82,7 +82,7 @@
    * Returns the keys of the last `window` milliseconds in ascending order, one
    * for each request.
    */
-  newest(window: number, now: number): number[] {
+  recentKeys(window: number, now: number): number[] {
     const first = this.#times.findIndex((time) => time > now - window);
     if (first < 0) return [];
     return this.#keys.slice(first).sort((a, b) => a - b);
--- a/src/core/keyspace/key_rebalancer.ts
+++ b/src/core/keyspace/key_rebalancer.ts
@@ -142,7 +142,7 @@
    * second.
    */
   #demand(service: string, now: number): number {
-    const { length } = this.loads.of(service).newest(DEMAND_WINDOW, now);
+    const { length } = this.loads.of(service).recentKeys(DEMAND_WINDOW, now);
     return length * MILLISECONDS_PER_SECOND / DEMAND_WINDOW;
   }
 }
--- a/src/core/keyspace/keyspace_effect.ts
+++ b/src/core/keyspace/keyspace_effect.ts
@@ -62,7 +62,7 @@
 }
 
 /** Log entry: a move of keys for load balance starts. */
-export interface MoveNote {
+export interface MoveStarted {
   kind: "keys.move";
   service: string;
   first: number;
@@ -72,7 +72,7 @@
 }
 
 /** Log entry: another server holds the keys now. */
-export interface MovedNote {
+export interface MoveCompleted {
   kind: "keys.moved";
   service: string;
   first: number;
@@ -122,12 +122,12 @@
  * A group of VMs in the store. One member of the electorate is elected as term
  * holder; observers only learn whether the store answers.
  */
-export type Group = "electorate" | "observers";
+export type ElectionGroup = "electorate" | "observers";
 
 /** Joins a group or stays in it; the answer is the event `group.joined`. */
 export interface GroupJoin {
   kind: "group.join";
-  group: Group;
+  group: ElectionGroup;
   /** Newest generation of the group that this VM knows. */
   generation: number;
 }
@@ -135,15 +135,15 @@
 /** Leaves a group at once, so that another VM can be elected without delay. */
 export interface GroupLeave {
   kind: "group.leave";
-  group: Group;
+  group: ElectionGroup;
 }
 
 /** All effects of the key space. */
 export type KeyspaceEffect =
   | GrantOrder
   | ReleaseOrder
-  | MoveNote
-  | MovedNote
+  | MoveStarted
+  | MoveCompleted
   | AssignmentWrite
   | TermRead
   | TermClaim
--- a/src/core/keyspace/lease_timing.ts
+++ b/src/core/keyspace/lease_timing.ts
@@ -56,7 +56,7 @@
 export type LeaseTiming = z.infer<typeof leaseTimingSchema>;
 
 /** Returns the timing with both hold times limited to what servers accept. */
-export function withinMaximum(timing: LeaseTiming): LeaseTiming {
+export function capHoldTimes(timing: LeaseTiming): LeaseTiming {
   const { hold, longHold, maximumHold } = timing;
   return {
     ...timing,
@@ -100,7 +100,7 @@
  * Returns the latest time at which the last lease can end that a term holder
  * fenced at `fencedAt` has granted.
  */
-export function predecessorEnd(fencedAt: number, timing: LeaseTiming): number {
+export function predecessorGrantsEnd(fencedAt: number, timing: LeaseTiming): number {
   return unansweredGrantEnd(
     fencedAt + timing.authority,
     timing.longHold,
--- a/src/core/keyspace/outstanding_lease.ts
+++ b/src/core/keyspace/outstanding_lease.ts
@@ -9,7 +9,7 @@
 import { keyRangeSchema } from "./assignment.ts";
 
 /** Schema of {@linkcode OutstandingLease}. */
-export const exposureSchema = keyRangeSchema.extend({
+export const outstandingLeaseSchema = keyRangeSchema.extend({
   service: z.string(),
   /**
    * Milliseconds from now until no server can hold the keys any more if no
@@ -19,4 +19,4 @@
 });
 
 /** A range of keys with the remaining time of its lease. */
-export type OutstandingLease = z.infer<typeof exposureSchema>;
+export type OutstandingLease = z.infer<typeof outstandingLeaseSchema>;
--- a/src/core/keyspace/record_writer.ts
+++ b/src/core/keyspace/record_writer.ts
@@ -69,7 +69,7 @@
   }
 
   /** Confirms the write in flight. */
-  written(): void {
+  confirm(): void {
     for (const [table, revision] of this.#write?.revisions ?? []) {
       table.recordedRevision = revision;
     }
--- a/src/core/keyspace/server_end_test.ts
+++ b/src/core/keyspace/server_end_test.ts
@@ -50,7 +50,7 @@
   const holder = TermHolder.create(2, recorded, timing, fleet, loads, next, 0);
   const noRemainder = { remaining: 0, ordersRemaining: 0 };
   const all = { first: 0, last: KEY_COUNT - 1 };
-  holder.relieve([{ service: "s", ...all, ...noRemainder }], 0);
+  holder.applyOutstandingLeases([{ service: "s", ...all, ...noRemainder }], 0);
   /**
    * Returns the due orders by their first key. The silence of the store
    * prevents moves for load balance.
@@ -65,7 +65,7 @@
     order: number | undefined,
     outcome: OrderOutcome,
     now: number,
-  ) => holder.ordered(order!, outcome, now);
+  ) => holder.onOrderEnded(order!, outcome, now);
   const owners = () =>
     holder.ranges("s").map(({ first, server, state }) =>
       `${first} ${server} ${state}`
--- a/src/core/keyspace/term_campaign.ts
+++ b/src/core/keyspace/term_campaign.ts
@@ -16,7 +16,7 @@
 import type { Assignment } from "./assignment.ts";
 import { Candidacy } from "./candidacy.ts";
 import type { KeyLoads } from "./key_load.ts";
-import type { Group, KeyspaceEffect, OrderOutcome } from "./keyspace_effect.ts";
+import type { ElectionGroup, KeyspaceEffect, OrderOutcome } from "./keyspace_effect.ts";
 import type { LeaseTiming } from "./lease_timing.ts";
 import type { OutstandingLease } from "./outstanding_lease.ts";
 import { TermHolder } from "./term_holder.ts";
@@ -80,7 +80,7 @@
 export interface Membership {
   /** Number that grows with each change of the group. */
   generation: number;
-  group: Group;
+  group: ElectionGroup;
   /** Whether this VM is the elected member. */
   isElected: boolean;
   /** When the call was sent. */
@@ -88,7 +88,7 @@
 }
 
 /** Records of all services in the store. */
-export interface Records {
+export interface TermRecords {
   /** Newest term that was claimed. */
   term: number;
   /** Position of the end of the record, for the conditional write. */
@@ -107,7 +107,7 @@
   | { kind: "follower" }
   | { kind: "settling"; since: number; generation: number }
   | { kind: "reading" }
-  | { kind: "claiming"; records: Records }
+  | { kind: "claiming"; records: TermRecords }
   | { kind: "pausing"; until: number }
   | { kind: "leading"; holder: TermHolder };
 
@@ -116,7 +116,7 @@
   #phase: Phase = { kind: "follower" };
   /** The last term holder that this VM was, kept after its term has ended. */
   #latestHolder: TermHolder | null = null;
-  #group: Group = "observers";
+  #group: ElectionGroup = "observers";
   #generation = 0;
   #startedAt: number | null = null;
   #isHolderRead = false;
@@ -161,7 +161,7 @@
   }
 
   /** Records the fitness of another VM that is known to be alive. */
-  hearFitness(fitness: number, now: number): void {
+  observeFitness(fitness: number, now: number): void {
     this.candidacy.observe(fitness, now);
   }
 
@@ -169,7 +169,7 @@
    * Records that the store has answered who held the term last, even if no VM
    * did.
    */
-  holderRead(): void {
+  onHolderRead(): void {
     this.#isHolderRead = true;
   }
 
@@ -196,7 +196,7 @@
   }
 
   /** Handles the answer to a membership call. */
-  joined(membership: Membership, now: number): void {
+  onJoined(membership: Membership, now: number): void {
     this.#isJoining = false;
     if (membership.group !== this.#group) return;
     this.#joinDueAt = membership.sentAt + this.#joinInterval(membership);
@@ -213,7 +213,7 @@
   }
 
   /** Handles a failed membership call and schedules the next one. */
-  joinFailed(now: number): void {
+  onJoinFailed(now: number): void {
     this.#isJoining = false;
     const isCandidate = this.#group === "electorate";
     this.#joinDueAt = now +
@@ -223,7 +223,7 @@
   /**
    * Handles the result of reading the records; null if they could not be read.
    */
-  read(records: Records | null, now: number): KeyspaceEffect[] {
+  onRecordsRead(records: TermRecords | null, now: number): KeyspaceEffect[] {
     if (this.#phase.kind !== "reading") return [];
     if (records === null) return this.#pause(now);
     this.#phase = { kind: "claiming", records };
@@ -232,7 +232,7 @@
   }
 
   /** Handles the outcome of a claim. */
-  claimed(term: number, outcome: WriteOutcome, now: number): KeyspaceEffect[] {
+  onClaimed(term: number, outcome: WriteOutcome, now: number): KeyspaceEffect[] {
     if (this.#phase.kind !== "claiming") return [];
     if (outcome !== "done") return this.#pause(now);
     const { records } = this.#phase;
@@ -247,7 +247,7 @@
     );
     const former = this.#latestHolder;
     if (former?.term === records.term) {
-      holder.relieve(former.outstandingLeases(now), now);
+      holder.applyOutstandingLeases(former.outstandingLeases(now), now);
     }
     this.#latestHolder = holder;
     this.#phase = { kind: "leading", holder };
@@ -260,18 +260,18 @@
   }
 
   /** Handles the outcome of a write of the term holder. */
-  written(term: number, outcome: WriteOutcome, now: number): KeyspaceEffect[] {
+  onWritten(term: number, outcome: WriteOutcome, now: number): KeyspaceEffect[] {
     if (this.holder?.term !== term) return [];
     if (outcome === "superseded") return this.#pause(now);
-    if (outcome === "done") this.holder.record.written();
+    if (outcome === "done") this.holder.record.confirm();
     else this.holder.record.scheduleRetry(now);
     return [];
   }
 
   /** Handles the outcome of an order. */
-  ordered(id: number, outcome: OrderOutcome, now: number): KeyspaceEffect[] {
+  onOrderEnded(id: number, outcome: OrderOutcome, now: number): KeyspaceEffect[] {
     const holder = this.holder;
-    if (holder === null || holder.ordered(id, outcome, now)) return [];
+    if (holder === null || holder.onOrderEnded(id, outcome, now)) return [];
     return this.#pause(now);
   }
 
@@ -352,7 +352,7 @@
    * computed are invalid. The successor, which may be this VM, assumes the
    * longest possible leases.
    */
-  doubtTime(): void {
+  onClockJumped(): void {
     this.#phase = { kind: "follower" };
     this.#latestHolder = null;
     this.#authorityEnd = -Infinity;
--- a/src/core/keyspace/term_campaign_test.ts
+++ b/src/core/keyspace/term_campaign_test.ts
@@ -31,15 +31,15 @@
   const { campaign, advance } = createCampaign(0.5);
   t.deepEqual(advance(0), ["group.join observers"]);
   const membership = { generation: 1, isElected: false, sentAt: 0 };
-  campaign.joined({ ...membership, group: "observers" }, 4);
+  campaign.onJoined({ ...membership, group: "observers" }, 4);
   t.deepEqual(advance(400), []);
-  campaign.hearFitness(4, 410);
-  campaign.holderRead();
+  campaign.observeFitness(4, 410);
+  campaign.onHolderRead();
   t.deepEqual(advance(420), []);
   // A store that does not answer delays the candidacy only for a limited time.
   const unread = createCampaign(0.5);
   unread.advance(0);
-  unread.campaign.joined({ ...membership, group: "observers" }, 4);
+  unread.campaign.onJoined({ ...membership, group: "observers" }, 4);
   t.deepEqual(unread.advance(999), []);
   t.deepEqual(unread.advance(1_000), ["group.join electorate"]);
 });
@@ -48,30 +48,30 @@
   const { campaign, advance } = createCampaign(0.5);
   const membership = { generation: 1, isElected: false, sentAt: 0 };
   t.deepEqual(advance(0), ["group.join observers"]);
-  campaign.joined({ ...membership, group: "observers" }, 4);
-  campaign.holderRead();
+  campaign.onJoined({ ...membership, group: "observers" }, 4);
+  campaign.onHolderRead();
   t.deepEqual(advance(60), ["group.join electorate"]);
-  campaign.joined({ ...membership, group: "electorate" }, 64);
-  campaign.hearFitness(4, 100);
+  campaign.onJoined({ ...membership, group: "electorate" }, 64);
+  campaign.observeFitness(4, 100);
   t.deepEqual(advance(110), ["group.leave electorate", "group.join observers"]);
   // It becomes a candidate again after some time without a message about a
   // fitter VM.
-  campaign.joined({ ...membership, group: "observers", sentAt: 110 }, 114);
+  campaign.onJoined({ ...membership, group: "observers", sentAt: 110 }, 114);
   t.deepEqual(advance(3_000), ["group.join observers"]);
-  campaign.joined({ ...membership, group: "observers", sentAt: 3_000 }, 3_004);
+  campaign.onJoined({ ...membership, group: "observers", sentAt: 3_000 }, 3_004);
   t.deepEqual(advance(3_200), ["group.join electorate"]);
 });
 
 test("campaign: membership calls are frequent while the group changes", (t) => {
   const { campaign, advance } = createCampaign(1);
   advance(0);
-  campaign.holderRead();
+  campaign.onHolderRead();
   advance(60);
   const member = { group: "electorate", isElected: false } as const;
-  campaign.joined({ ...member, generation: 1, sentAt: 60 }, 64);
+  campaign.onJoined({ ...member, generation: 1, sentAt: 60 }, 64);
   t.deepEqual(advance(159), []);
   t.deepEqual(advance(160), ["group.join electorate"]);
-  campaign.joined({ ...member, generation: 1, sentAt: 160 }, 164);
+  campaign.onJoined({ ...member, generation: 1, sentAt: 160 }, 164);
   t.deepEqual(advance(260), []);
   t.deepEqual(advance(510), ["group.join electorate"]);
 });
--- a/src/core/keyspace/term_holder.ts
+++ b/src/core/keyspace/term_holder.ts
@@ -14,7 +14,7 @@
 import type { KeyLoads } from "./key_load.ts";
 import { KeyRebalancer } from "./key_rebalancer.ts";
 import type { KeyspaceEffect, OrderOutcome } from "./keyspace_effect.ts";
-import { type LeaseTiming, predecessorEnd } from "./lease_timing.ts";
+import { type LeaseTiming, predecessorGrantsEnd } from "./lease_timing.ts";
 import { OrderOutcomeHandler } from "./order_outcome_handler.ts";
 import { OrderTracker } from "./order_tracker.ts";
 import type { OutstandingLease } from "./outstanding_lease.ts";
@@ -97,7 +97,7 @@
     now: number,
   ): TermHolder {
     const holder = new TermHolder(term, timing, fleet, loads, nextOrder);
-    const end = predecessorEnd(now, timing);
+    const end = predecessorGrantsEnd(now, timing);
     for (const assignment of recorded) {
       const table = RangeTable.restore(assignment, end);
       holder.#tables.set(assignment.service, table);
@@ -116,7 +116,7 @@
    * Whether orders are due that the last step had to defer because of its
    * limit.
    */
-  get isBehind(): boolean {
+  get hasDeferredOrders(): boolean {
     return this.#orders.isLimitReached;
   }
 
@@ -153,7 +153,7 @@
    * Shortens the inherited leases to those that the previous term holder, which
    * sends no more orders, has reported as outstanding.
    */
-  relieve(leases: readonly OutstandingLease[], now: number): void {
+  applyOutstandingLeases(leases: readonly OutstandingLease[], now: number): void {
     for (const table of this.#tables.values()) {
       const own = leases.filter((each) => each.service === table.service);
       if (!coversAllKeys(own)) continue;
@@ -225,7 +225,7 @@
    * Handles the outcome of an order. Returns false if it shows that a newer
    * term holder exists.
    */
-  ordered(id: number, outcome: OrderOutcome, now: number): boolean {
+  onOrderEnded(id: number, outcome: OrderOutcome, now: number): boolean {
     const order = this.#orders.complete(id, now);
     if (order === undefined) return true;
     if (outcome.kind === "superseded") return false;
--- a/src/core/keyspace/term_holder_test.ts
+++ b/src/core/keyspace/term_holder_test.ts
@@ -55,7 +55,7 @@
   const accept = (effects: KeyspaceEffect[], now: number) => {
     for (const effect of effects) {
       if (!("order" in effect)) continue;
-      holder.ordered(effect.order, { kind: "accepted", handover: "h" }, now);
+      holder.onOrderEnded(effect.order, { kind: "accepted", handover: "h" }, now);
     }
   };
   /** Runs a move until its first release is answered, at 400. */
@@ -131,7 +131,7 @@
     for (const effect of holder.advance(["s"], now, Infinity, 0, true)) {
       if (effect.kind === "keys.move") moveTimes.push(now);
       if (effect.kind !== "order.grant") continue;
-      holder.ordered(effect.order, { kind: "accepted", handover: null }, now);
+      holder.onOrderEnded(effect.order, { kind: "accepted", handover: null }, now);
       acceptTimes.push(now);
     }
   }
@@ -158,12 +158,12 @@
         unanswered.push({ order: effect.order, at: now + 500 });
       } else {
         const outcome = { kind: "accepted", handover: null } as const;
-        holder.ordered(effect.order, outcome, now + 5);
+        holder.onOrderEnded(effect.order, outcome, now + 5);
       }
     }
     while (unanswered.length > 0 && unanswered[0].at <= now) {
       const { order } = unanswered.shift()!;
-      holder.ordered(order, { kind: "failed", cause: "no answer" }, now);
+      holder.onOrderEnded(order, { kind: "failed", cause: "no answer" }, now);
     }
     states.push(holder.ranges("s")[0].state);
   }
@@ -230,7 +230,7 @@
   const { holder, advance } = createHolder();
   const [grant] = advance(0, 0);
   if (!("order" in grant)) throw new Error("no order");
-  holder.ordered(grant.order, { kind: "misdirected" }, 5);
+  holder.onOrderEnded(grant.order, { kind: "misdirected" }, 5);
   t.is(holder.ranges("s")[0].state, "vacant");
   // Its entry is still listed, but it gets no more keys.
   t.deepEqual(advance(10, 0).map(({ kind }) => kind), ["assignments.write"]);
@@ -242,7 +242,7 @@
   const [grant] = advance(0, 0);
   if (!("order" in grant)) throw new Error("no order");
   fleet.apply([{ ...fleet.get("a")!.entry, address: "a:2" }], [], 3);
-  holder.ordered(grant.order, { kind: "misdirected" }, 5);
+  holder.onOrderEnded(grant.order, { kind: "misdirected" }, 5);
   t.is(holder.ranges("s")[0].server, "a");
 });
 
@@ -270,7 +270,7 @@
     const [grant] = advance(now, 800);
     if (!("order" in grant)) throw new Error("no order");
     const failed = { kind: "failed", cause: "no answer" } as const;
-    holder.ordered(grant.order, failed, now + 500);
+    holder.onOrderEnded(grant.order, failed, now + 500);
   }
   advance(1_210, 800);
   t.is(holder.ranges("s")[0].state, "expiring");
@@ -288,7 +288,7 @@
       const [grant] = advance(now, 800);
       if (!("order" in grant)) throw new Error("no order");
       const failed = { kind: "failed", cause: "no answer" } as const;
-      holder.ordered(grant.order, failed, now + 500);
+      holder.onOrderEnded(grant.order, failed, now + 500);
     }
     advance(1_210, 800);
     fleet.apply([{ ...fleet.get("a")!.entry, id: "other" }], [], 1_400);
@@ -297,7 +297,7 @@
     const answer = (kind: "accepted" | "misdirected" | "failed") => {
       if (!("order" in probe)) throw new Error("no order");
       const fields = { handover: null, cause: "" };
-      holder.ordered(probe.order, { kind, ...fields }, 1_420);
+      holder.onOrderEnded(probe.order, { kind, ...fields }, 1_420);
       return holder.ranges("s")[0].state;
     };
     return { ...context, answer };
@@ -350,7 +350,7 @@
       const outcome = isWithheld
         ? { kind: "withheld" } as const
         : { kind: "accepted", handover: null } as const;
-      holder.ordered(order, outcome, now);
+      holder.onOrderEnded(order, outcome, now);
     }
   } while (granted.size < ranges.length && now < 500);
   t.true(largest <= 16, `${largest} at once`);
--- a/src/core/peers/peer_message.ts
+++ b/src/core/peers/peer_message.ts
@@ -12,7 +12,7 @@
 } from "../fleet/index.ts";
 import {
   assignmentSchema,
-  exposureSchema,
+  outstandingLeaseSchema,
   keyLimitSchema,
 } from "../keyspace/index.ts";
 import { crashRecordSchema, permitAnswerSchema } from "../quarantine/index.ts";
@@ -221,7 +221,7 @@
   kind: z.literal("term.yielded"),
   /** Term of the new holder. */
   toTerm: count,
-  exposures: z.array(exposureSchema),
+  exposures: z.array(outstandingLeaseSchema),
 });
 
 /** Maximum length of a request fingerprint, in characters. */
--- a/src/runtime/control_store.ts
+++ b/src/runtime/control_store.ts
@@ -7,7 +7,7 @@
  */
 import type { Configuration } from "../core/catalog/index.ts";
 import type { Occurrence } from "../core/entry_event.ts";
-import type { Assignment, Group, Records } from "../core/keyspace/index.ts";
+import type { Assignment, ElectionGroup, TermRecords } from "../core/keyspace/index.ts";
 import type { CrashRecord } from "../core/quarantine/index.ts";
 import type { RegistryRead } from "../core/registry/index.ts";
 
@@ -42,7 +42,7 @@
 
 /** Result of a read of the term holders' records. */
 export interface RecordsRead extends DecodedRead {
-  records: Records;
+  records: TermRecords;
   /**
    * Whether `records` contains the newest term, so that the next one may be
    * claimed.
@@ -81,12 +81,12 @@
    * milliseconds.
    */
   abstract join(
-    group: Group,
+    group: ElectionGroup,
     generation: number,
     timeToLive: number,
   ): Promise<GroupMembership>;
   /** Leaves a group immediately. */
-  abstract leave(group: Group): Promise<void>;
+  abstract leave(group: ElectionGroup): Promise<void>;
   /**
    * Reads all records of term holders. An assignment that cannot be decoded is
    * replaced in `records` by one that assigns all keys to unknown servers.
--- a/src/runtime/effect_runner.ts
+++ b/src/runtime/effect_runner.ts
@@ -12,8 +12,8 @@
 } from "../core/dispatch/index.ts";
 import type {
   GrantOrder,
-  MovedNote,
-  MoveNote,
+  MoveCompleted,
+  MoveStarted,
   OrderOutcome,
   ReleaseOrder,
 } from "../core/keyspace/index.ts";
@@ -199,7 +199,7 @@
     });
   }
 
-  #logMove({ kind, ...detail }: MoveNote | MovedNote): void {
+  #logMove({ kind, ...detail }: MoveStarted | MoveCompleted): void {
     this.adapters.logger.write("info", kind, detail);
   }
 
--- a/src/runtime/entry_process.ts
+++ b/src/runtime/entry_process.ts
@@ -7,7 +7,7 @@
 import type { Writable } from "node:stream";
 import { Entry } from "../core/entry.ts";
 import { describeEntry, type EntryStatus } from "../core/entry_status.ts";
-import { fitnessOf, withinMaximum } from "../core/keyspace/index.ts";
+import { fitnessOf, capHoldTimes } from "../core/keyspace/index.ts";
 import { Journal } from "../logging/index.ts";
 import type { EntrySettings } from "../settings/index.ts";
 import { AdminServer } from "./admin_server.ts";
@@ -105,7 +105,7 @@
       peerAddress: settings.peer,
       seeds: settings.seeds.filter((seed) => seed !== settings.peer),
       availabilityZone: settings.availabilityZone,
-      leaseTiming: withinMaximum(settings.leases),
+      leaseTiming: capHoldTimes(settings.leases),
       retryLimits: settings.retries,
       shutdown: {
         closeAfter: Math.min(CLOSE_DELAY, shutdownTimeout * CLOSE_SHARE),
--- a/test/ownership/model_store.ts
+++ b/test/ownership/model_store.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import type { Assignment, Records } from "../../src/core/keyspace/index.ts";
+import type { Assignment, TermRecords } from "../../src/core/keyspace/index.ts";
 
 interface Member {
   id: string;
@@ -38,7 +38,7 @@
   }
 
   /** Returns the recorded term and assignments. */
-  read(): Records {
+  read(): TermRecords {
     return {
       term: this.#term,
       end: this.end,
--- a/test/ownership/world.ts
+++ b/test/ownership/world.ts
@@ -15,7 +15,7 @@
 import type { BackendServer } from "../../src/core/fleet/index.ts";
 import {
   type GrantOrder,
-  type Group,
+  type ElectionGroup,
   type LeaseTiming,
   leaseTimingSchema,
   type OrderOutcome,
@@ -835,7 +835,7 @@
   }
 
   /** Joins the electorate, or the observers, which are never elected. */
-  #join(vm: Vm, group: Group) {
+  #join(vm: Vm, group: ElectionGroup) {
     if (group === "observers") return { generation: 1, isElected: false };
     return this.#store.join(vm.id, this.#time.now, TIME_TO_LIVE);
   }
--- a/test/platform_test.ts
+++ b/test/platform_test.ts
@@ -32,7 +32,7 @@
   KEY_COUNT,
   KeyLoads,
   leaseTimingSchema,
-  predecessorEnd,
+  predecessorGrantsEnd,
   TermHolder,
 } from "../src/core/keyspace/index.ts";
 import { siteConfiguration } from "../src/core/declaration/index.ts";
@@ -687,16 +687,16 @@
   const released: number[] = [];
   for (let now = 0; now < 30_000; now += 50) {
     for (const effect of holder.advance(["s"], now, Infinity, 0, true)) {
-      if (effect.kind === "assignments.write") holder.record.written();
+      if (effect.kind === "assignments.write") holder.record.confirm();
       if (effect.kind === "order.release") released.push(now);
       if (effect.kind !== "order.grant") continue;
       grants.push(now);
       const outcome = { kind: "accepted" as const, handover: null };
-      holder.ordered(effect.order, outcome, now);
+      holder.onOrderEnded(effect.order, outcome, now);
     }
   }
   t.true(grants.length > 0);
-  t.true(grants[0] >= predecessorEnd(0, timing), String(grants[0]));
+  t.true(grants[0] >= predecessorGrantsEnd(0, timing), String(grants[0]));
   t.deepEqual(released, []);
 });
 
