--- a/src/core/dispatch/dispatcher.ts
+++ b/src/core/dispatch/dispatcher.ts
@@ -90,7 +90,7 @@
   }
 
   /** Accepts a request from a caller. */
-  arrive(arrival: RequestArrival, now: number): DispatchEffect[] {
+  requestArrived(arrival: RequestArrival, now: number): DispatchEffect[] {
     const { catalog } = this.context;
     const route = catalog.route(arrival.host, arrival.target);
     if (route === undefined) {
@@ -103,12 +103,12 @@
   }
 
   /** Refuses a request that arrived while this VM is stopping. */
-  turnAway(arrival: RequestArrival): DispatchEffect[] {
+  refuseWhileStopping(arrival: RequestArrival): DispatchEffect[] {
     return this.#responses.shutdownRefusal(arrival);
   }
 
   /** Ends all queued requests that have no attempt in flight. */
-  stopWaiting(reason: string, now: number): DispatchEffect[] {
+  endQueuedRequests(reason: string, now: number): DispatchEffect[] {
     for (const request of [...this.#requests.values()]) {
       if (request.attempts.length > 0) continue;
       this.#queues.remove(request);
@@ -119,7 +119,7 @@
 
   /** Responds with 504 to all requests with an attempt in flight. The response unblocks
    * the requests that are pipelined behind it on the caller's connection. */
-  breakOff(reason: string, now: number): DispatchEffect[] {
+  failInFlightRequests(reason: string, now: number): DispatchEffect[] {
     for (const request of [...this.#requests.values()]) {
       if (request.attempts.length === 0) continue;
       this.#fail(request, 504, reason, now);
@@ -133,7 +133,7 @@
    * caller disconnects at its own, so waiting for either of them is safe. The requests
    * are neither hedged nor retried, since their deadline may already have passed.
    */
-  doubtTime(gap: number): void {
+  extendDeadlines(gap: number): void {
     for (const request of this.#requests.values()) {
       if (request.attempts.length === 0) continue;
       request.deadline += gap;
@@ -143,7 +143,7 @@
   }
 
   /** Cancels a request whose caller disconnected before the response. */
-  leave(exchange: number, now: number): DispatchEffect[] {
+  callerDisconnected(exchange: number, now: number): DispatchEffect[] {
     const request = this.#requests.get(exchange);
     if (request === undefined) return [];
     this.#log.write("info", "request.left", request, now, {});
@@ -153,7 +153,7 @@
   }
 
   /** Handles the end of an attempt. */
-  ended(
+  attemptEnded(
     number: number,
     outcome: AttemptOutcome,
     now: number,
--- a/src/core/dispatch/dispatcher_test.ts
+++ b/src/core/dispatch/dispatcher_test.ts
@@ -117,7 +117,7 @@
   let exchange = 0;
   const arrive = (path: string, now: number, timeout = 1_000) => {
     exchange += 1;
-    return dispatcher.arrive({
+    return dispatcher.requestArrived({
       exchange,
       id: `r-${exchange}`,
       host: "h.example",
@@ -149,10 +149,10 @@
 };
 const NOT_RUN = { ...ANSWERED, status: 503, isGenuine: false, isNotRun: true };
 const SPOILT = { ...ANSWERED, isGenuine: false };
-const LOST: AttemptOutcome = { kind: "failed", wasSent: true, cause: "reset" };
+const LOST: AttemptOutcome = { kind: "failed", mayHaveBeenSent: true, cause: "reset" };
 const NOT_SENT: AttemptOutcome = {
   kind: "failed",
-  wasSent: false,
+  mayHaveBeenSent: false,
   cause: "refused",
 };
 
@@ -187,11 +187,11 @@
     const steps = (outcome: AttemptOutcome) => {
       const { dispatcher, arrive } = createDispatcher();
       arrive(path, 0);
-      const first = dispatcher.ended(1, outcome, 10);
+      const first = dispatcher.attemptEnded(1, outcome, 10);
       return {
         first: summarize(first),
         then: summarize(dispatcher.advance(45)),
-        again: summarize(dispatcher.ended(2, outcome, 50)),
+        again: summarize(dispatcher.attemptEnded(2, outcome, 50)),
       };
     };
     t.snapshot(
@@ -247,7 +247,7 @@
     for (let now = 0; now < 2_200; now += 1) {
       if (answers[0]?.at === now) {
         const { attempt } = answers.shift()!;
-        record(dispatcher.ended(attempt, outcome, now), now);
+        record(dispatcher.attemptEnded(attempt, outcome, now), now);
       }
       if (now < 2_000 && now % 10 === 0) record(arrive("/lookup/", now), now);
       record(dispatcher.advance(now), now);
@@ -264,7 +264,7 @@
 test("dispatch: a refused request is sent to the key's new server immediately", (t) => {
   const { dispatcher, arrive, assign } = createDispatcher();
   arrive("/lookup/", 0);
-  t.deepEqual(summarize(dispatcher.ended(1, MISDIRECTED, 10)), []);
+  t.deepEqual(summarize(dispatcher.attemptEnded(1, MISDIRECTED, 10)), []);
   assign(2, true, "stock-2");
   t.deepEqual(summarize(dispatcher.advance(12)), [
     "start stock-2, 488 ms left",
@@ -274,11 +274,11 @@
 test("dispatch: a response from the key's server ends the backoff for all waiting requests", (t) => {
   const { dispatcher, arrive } = createDispatcher();
   arrive("/lookup/", 0);
-  dispatcher.ended(1, MISDIRECTED, 10);
+  dispatcher.attemptEnded(1, MISDIRECTED, 10);
   t.deepEqual(summarize(arrive("/lookup/", 20)), [], "sent during the backoff");
   t.deepEqual(summarize(dispatcher.advance(39)), []);
   t.is(summarize(dispatcher.advance(40)).length, 1);
-  const rest = summarize(dispatcher.ended(2, ANSWERED, 45));
+  const rest = summarize(dispatcher.attemptEnded(2, ANSWERED, 45));
   t.deepEqual(rest, ["deliver", "start stock-1, 475 ms left"]);
 });
 
@@ -289,7 +289,7 @@
   for (let attempt = 1; attempt <= sent; attempt++) {
     const now = 100 * attempt;
     const effects = [
-      ...dispatcher.ended(attempt, LOST, now),
+      ...dispatcher.attemptEnded(attempt, LOST, now),
       ...dispatcher.advance(now + BROKEN_ATTEMPT_DELAY),
     ];
     sent += effects.filter((each) => each.kind === "attempt.start").length;
@@ -300,7 +300,7 @@
 test("dispatch: a retry after a broken connection waits for the check of the server", (t) => {
   const { dispatcher, arrive } = createDispatcher();
   arrive("/lookup/", 0);
-  t.deepEqual(summarize(dispatcher.ended(1, LOST, 10)), []);
+  t.deepEqual(summarize(dispatcher.attemptEnded(1, LOST, 10)), []);
   t.deepEqual(summarize(dispatcher.advance(10 + BROKEN_ATTEMPT_DELAY - 1)), []);
   t.is(dispatcher.nextAt(), 10 + BROKEN_ATTEMPT_DELAY);
   const again = summarize(dispatcher.advance(10 + BROKEN_ATTEMPT_DELAY));
@@ -395,7 +395,7 @@
       if (starts === 0) break;
       attempt += 1;
       if (outcome === NOT_RUN) reached += 1;
-      const effects = dispatcher.ended(attempt, outcome, i * 100 + 1);
+      const effects = dispatcher.attemptEnded(attempt, outcome, i * 100 + 1);
       starts = effects.filter((each) => each.kind === "attempt.start").length;
     }
     retries += Math.max(0, reached - 1);
@@ -449,7 +449,7 @@
           const attempt = running.shift();
           if (attempt === undefined) break;
           if (name === "NOT_SENT") starts.delete(attempt);
-          record(dispatcher.ended(attempt, outcomes[name], now), now);
+          record(dispatcher.attemptEnded(attempt, outcomes[name], now), now);
         }
       }
       const seen = new Set<number>();
@@ -483,7 +483,7 @@
 test("dispatch: a non-idempotent request that may have run fails with 502 and is never retried", (t) => {
   const { dispatcher, arrive } = createDispatcher();
   t.is(summarize(arrive("/order/", 0)).length, 1);
-  t.deepEqual(summarize(dispatcher.ended(1, LOST, 10)), [
+  t.deepEqual(summarize(dispatcher.attemptEnded(1, LOST, 10)), [
     "502, reset, come back null",
   ]);
   t.is(dispatcher.pending, 0);
@@ -492,7 +492,7 @@
 test("dispatch: retries are limited while the number of VMs is unknown", (t) => {
   const { dispatcher, arrive } = createDispatcher(null);
   arrive("/order/", 0);
-  t.snapshot(summarize(dispatcher.ended(1, NOT_RUN, 10)));
+  t.snapshot(summarize(dispatcher.attemptEnded(1, NOT_RUN, 10)));
 });
 
 test("dispatch: a request waits for capacity for a limited time and is then refused", (t) => {
@@ -506,7 +506,7 @@
 test("dispatch: a waiting request is sent when a server has capacity", (t) => {
   const { dispatcher, arrive } = createDispatcher();
   for (let i = 0; i < 3; i++) arrive("/order/", 0);
-  t.snapshot(summarize(dispatcher.ended(1, ANSWERED, 20)));
+  t.snapshot(summarize(dispatcher.attemptEnded(1, ANSWERED, 20)));
 });
 
 test("dispatch: a request waits for a key that is moving", (t) => {
@@ -534,11 +534,11 @@
     );
   arrive("/order/", 0, 1_000);
   // The target latency is 200 ms, of which 20 ms have passed.
-  t.deepEqual(retryAfter(dispatcher.ended(1, NOT_RUN, 20)), []);
-  t.deepEqual(retryAfter(dispatcher.ended(2, NOT_RUN, 30)), [85]);
+  t.deepEqual(retryAfter(dispatcher.attemptEnded(1, NOT_RUN, 20)), []);
+  t.deepEqual(retryAfter(dispatcher.attemptEnded(2, NOT_RUN, 30)), [85]);
   arrive("/order/", 200, 800);
-  dispatcher.ended(3, NOT_RUN, 220);
-  t.deepEqual(retryAfter(dispatcher.ended(4, NOT_RUN, 230)), [231]);
+  dispatcher.attemptEnded(3, NOT_RUN, 220);
+  t.deepEqual(retryAfter(dispatcher.attemptEnded(4, NOT_RUN, 230)), [231]);
 });
 
 test("dispatch: no request is sent to a draining server", (t) => {
@@ -558,14 +558,14 @@
   t.deepEqual(summarize(dispatcher.advance(99)), []);
   t.snapshot({
     hedged: summarize(dispatcher.advance(100)),
-    answered: summarize(dispatcher.ended(2, ANSWERED, 150)),
+    answered: summarize(dispatcher.attemptEnded(2, ANSWERED, 150)),
   });
 });
 
 test("dispatch: the attempts of a disconnected caller are cancelled", (t) => {
   const { dispatcher, arrive } = createDispatcher();
   arrive("/read/", 0);
-  t.deepEqual(summarize(dispatcher.leave(1, 10)), ["cancel"]);
+  t.deepEqual(summarize(dispatcher.callerDisconnected(1, 10)), ["cancel"]);
   t.is(dispatcher.pending, 0);
 });
 
@@ -609,7 +609,7 @@
     key: null,
     fingerprint: fingerprintOf("/"),
   };
-  t.snapshot(summarize(unconfigured.arrive(arrival, 0)));
+  t.snapshot(summarize(unconfigured.requestArrived(arrival, 0)));
 });
 
 test("dispatch: requests for an overloaded key are shed immediately with a long retry delay", (t) => {
@@ -634,7 +634,7 @@
   const { dispatcher, arrive, keyLimits } = createDispatcher(200, () => 0.5);
   arrive("/lookup/", 0);
   const load = { running: 0, waiting: 0, slots: 1 };
-  dispatcher.ended(1, { ...ANSWERED, load }, 50);
+  dispatcher.attemptEnded(1, { ...ANSWERED, load }, 50);
   const limit = { service: "stock", first: 0, last: 65_535, share: 0.1 };
   keyLimits.replace([limit], 60);
   t.deepEqual(summarize(arrive("/lookup/", 100)), [
@@ -674,7 +674,7 @@
   const { dispatcher, arrive, quarantine } = createDispatcher();
   arrive("/read/ends", 990);
   quarantineRequest(quarantine, "/read/ends");
-  t.deepEqual(summarize(dispatcher.ended(1, LOST, 1_000)), [
+  t.deepEqual(summarize(dispatcher.attemptEnded(1, LOST, 1_000)), [
     "502, reset, come back null",
   ]);
 });
@@ -685,7 +685,7 @@
     quarantine.accuse(fingerprintOf("/read/ends").whole, "", run, 0);
   }
   arrive("/read/ends", 1_000);
-  t.deepEqual(summarize(dispatcher.ended(1, LOST, 1_010)), [
+  t.deepEqual(summarize(dispatcher.attemptEnded(1, LOST, 1_010)), [
     "502, reset, come back null",
   ]);
 });
@@ -695,7 +695,7 @@
     const { dispatcher, arrive, quarantine } = createDispatcher();
     quarantine.accuse(fingerprintOf("/order/x").whole, "", "a#1", 0);
     arrive("/order/x", 10);
-    dispatcher.ended(1, { ...ANSWERED, status }, 20);
+    dispatcher.attemptEnded(1, { ...ANSWERED, status }, 20);
     t.is(quarantine.ends(fingerprintOf("/order/x")), ends);
   }
 });
@@ -704,7 +704,7 @@
   const countChecks = (outcome: AttemptOutcome) => {
     const { dispatcher, arrive } = createDispatcher();
     arrive("/order/", 0);
-    return dispatcher.ended(1, outcome, 10)
+    return dispatcher.attemptEnded(1, outcome, 10)
       .filter(({ kind }) => kind === "server.check").length;
   };
   t.deepEqual([LOST, SPOILT, NOT_SENT, NOT_RUN, ANSWERED].map(countChecks), [
@@ -719,13 +719,13 @@
 test("dispatch: while the clock may be ahead, a request in flight gets more time and is not retried", (t) => {
   const { dispatcher, arrive } = createDispatcher();
   arrive("/read/", 0);
-  dispatcher.doubtTime(3_000);
+  dispatcher.extendDeadlines(3_000);
   t.deepEqual(summarize(dispatcher.advance(3_100)), []);
-  t.deepEqual(summarize(dispatcher.ended(1, LOST, 3_120)), [
+  t.deepEqual(summarize(dispatcher.attemptEnded(1, LOST, 3_120)), [
     "502, reset, come back null",
   ]);
   arrive("/read/", 3_200);
-  dispatcher.doubtTime(3_000);
+  dispatcher.extendDeadlines(3_000);
   t.deepEqual(summarize(dispatcher.advance(6_750)), []);
   t.regex(summarize(dispatcher.advance(6_770)).join(), /^cancel,504/);
 });
--- a/src/core/dispatch/request.ts
+++ b/src/core/dispatch/request.ts
@@ -165,8 +165,8 @@
   | {
     kind: "failed";
     /** Whether any part of the request may have reached the server. */
-    wasSent: boolean;
+    mayHaveBeenSent: boolean;
     /** Whether the server's address refused the connection; false if omitted. */
-    isRefused?: boolean;
+    isConnectionRefused?: boolean;
     cause: string;
   };
--- a/src/core/entry.ts
+++ b/src/core/entry.ts
@@ -216,10 +216,10 @@
         );
       case "request.arrived":
         if (this.#shutdown.isRejectingRequests(now)) {
-          return this.#emit(...this.dispatcher.turnAway(event.arrival));
+          return this.#emit(...this.dispatcher.refuseWhileStopping(event.arrival));
         }
         this.#recordKey(event.arrival, now);
-        return this.#emit(...this.dispatcher.arrive(event.arrival, now));
+        return this.#emit(...this.dispatcher.requestArrived(event.arrival, now));
       case "request.late": {
         const { id: request, timeout, age } = event;
         const detail = { request, timeout, age };
@@ -231,10 +231,10 @@
         });
       }
       case "request.left":
-        return this.#emit(...this.dispatcher.leave(event.exchange, now));
+        return this.#emit(...this.dispatcher.callerDisconnected(event.exchange, now));
       case "attempt.ended":
         return this.#emit(
-          ...this.dispatcher.ended(event.attempt, event.outcome, now),
+          ...this.dispatcher.attemptEnded(event.attempt, event.outcome, now),
         );
       case "server.checked": {
         const { crashDetector, fleet } = this.beliefs;
@@ -345,7 +345,7 @@
     this.peers.followerLink.outdated();
     if (isCertain) return;
     this.campaign.onClockJumped();
-    this.dispatcher.doubtTime(gap);
+    this.dispatcher.extendDeadlines(gap);
   }
 
   #termClaimed(effects: KeyspaceEffect[]): void {
@@ -396,8 +396,8 @@
    * responses, and those queued behind them, are sent before the connections close. */
   #endPendingRequests(now: number): void {
     const reason = "this VM is stopping";
-    this.#emit(...this.dispatcher.stopWaiting(reason, now));
-    this.#emit(...this.dispatcher.breakOff(reason, now));
+    this.#emit(...this.dispatcher.endQueuedRequests(reason, now));
+    this.#emit(...this.dispatcher.failInFlightRequests(reason, now));
   }
 
   #startShutdown(lateness: number, now: number): void {
--- a/src/runtime/backend_pool.ts
+++ b/src/runtime/backend_pool.ts
@@ -138,7 +138,7 @@
       this.sink.push({
         kind: "attempt.ended",
         attempt: start.attempt,
-        outcome: { kind: "failed", wasSent: false, cause: errorText(error) },
+        outcome: { kind: "failed", mayHaveBeenSent: false, cause: errorText(error) },
       });
     }
   }
@@ -375,7 +375,7 @@
     this.sink.push({
       kind: "attempt.ended",
       attempt,
-      outcome: { kind: "failed", wasSent, isRefused, cause },
+      outcome: { kind: "failed", mayHaveBeenSent: wasSent, isConnectionRefused: isRefused, cause },
     });
   }
 }
--- a/src/runtime/backend_pool_test.ts
+++ b/src/runtime/backend_pool_test.ts
@@ -86,7 +86,7 @@
   if (occurrence.kind !== "attempt.ended") return occurrence.kind;
   const { outcome } = occurrence;
   if (outcome.kind === "failed") {
-    return outcome.wasSent ? "failed, sent" : "failed, not sent";
+    return outcome.mayHaveBeenSent ? "failed, sent" : "failed, not sent";
   }
   return outcome.isGenuine ? "genuine" : "spoilt";
 }
--- a/test/ownership/request_load.ts
+++ b/test/ownership/request_load.ts
@@ -426,7 +426,7 @@
       this.resets += 1;
       return this.#end(request, {
         kind: "failed",
-        wasSent: true,
+        mayHaveBeenSent: true,
         cause: "reset",
       });
     }
@@ -504,7 +504,7 @@
     this.#loads.delete(server);
     for (const request of [...this.#requests.values()]) {
       if (request.server !== server || request.isEnded) continue;
-      this.#end(request, { kind: "failed", wasSent: true, cause: "reset" });
+      this.#end(request, { kind: "failed", mayHaveBeenSent: true, cause: "reset" });
     }
   }
 
@@ -596,7 +596,7 @@
 }
 
 function notSent(): AttemptOutcome {
-  return { kind: "failed", wasSent: false, isRefused: true, cause: "refused" };
+  return { kind: "failed", mayHaveBeenSent: false, isConnectionRefused: true, cause: "refused" };
 }
 
 function nameOf(vm: number, attempt: number | string): string {
