--- a/src/core/beliefs.ts
+++ b/src/core/beliefs.ts
@@ -16,7 +16,7 @@
   type ServerRateChange,
 } from "./fleet/index.ts";
 import { type Assignment, KeyDirectory, KeyLimits } from "./keyspace/index.ts";
-import type { HolderAddress, Knowledge } from "./peers/index.ts";
+import type { HolderAddress, SenderState } from "./peers/index.ts";
 import { type Accusation, CrashWatch, Quarantine } from "./quarantine/index.ts";
 import { RegistryReplica } from "./registry/index.ts";
 
@@ -67,7 +67,7 @@
   }
 
   /** Versions of the state that this VM has, as messages to other VMs carry them. */
-  knowledge(position = this.directory.position): Knowledge {
+  knowledge(position = this.directory.position): SenderState {
     const { term, version } = position;
     const evacuation = this.fleet.evacuations.news;
     return {
--- a/src/core/entry.ts
+++ b/src/core/entry.ts
@@ -56,7 +56,7 @@
     this.beliefs = Beliefs.create(
       emit,
       ({ request: { id, fingerprint } }) =>
-        this.peers.permits.permits.serverEnded(fingerprint, id),
+        this.peers.permitExchange.permits.serverEnded(fingerprint, id),
     );
     const { catalog, fleet, directory, keyLimits } = this.beliefs;
     const { quarantine, crashDetector } = this.beliefs;
@@ -84,8 +84,8 @@
       keyLimits,
       quarantine,
       crashes: crashDetector,
-      permits: this.peers.permits.permits,
-      tokens: this.peers.tokens.tokens,
+      permits: this.peers.permitExchange.permits,
+      tokens: this.peers.tokenExchange.tokens,
       cold: ColdAdmission.create(
         catalog,
         () => this.vms,
@@ -177,7 +177,7 @@
       case "servers.failed":
         return this.beliefs.registry.failed(event.isExpired, now);
       case "assignments.read":
-        this.peers.recordRead(event.assignments, now);
+        this.peers.assignmentsRead(event.assignments, now);
         return this.beliefs.assign(event.assignments);
       case "quarantine.read":
         return this.#quarantineRecord.read(event.records, now);
@@ -290,7 +290,7 @@
   ): void {
     const from = this.campaign.phase;
     const silence = this.storeSilence(now);
-    const isTold = this.peers.isTold(now);
+    const isTold = this.peers.hasHolderUpdates(now);
     const effects = this.campaign.advance(
       services,
       now,
@@ -314,7 +314,7 @@
    * With 195 VMs, most of them observers, and little traffic, the long polls and the
    * updates that they return make up about half of all calls to the store. */
   #updateFeeds(now: number): void {
-    const isFollowing = !this.peers.isTold(now);
+    const isFollowing = !this.peers.hasHolderUpdates(now);
     if (isFollowing === this.#isFollowingFeeds) return;
     this.#isFollowingFeeds = isFollowing;
     this.beliefs.note("feeds.turned", { isFollowing });
@@ -342,7 +342,7 @@
   #clockJumped(gap: number, isCertain: boolean): void {
     const detail = { gap: Math.round(gap), isCertain };
     this.beliefs.note("clock.jumped", detail);
-    this.peers.followerLink.outdated();
+    this.peers.followerLink.expedite();
     if (isCertain) return;
     this.campaign.onClockJumped();
     this.dispatcher.extendDeadlines(gap);
@@ -352,7 +352,7 @@
     this.#emit(...effects);
     for (const effect of effects) {
       if (effect.kind !== "holder.announce") continue;
-      this.peers.askFormerHolder(effect.term, effect.formerTerm);
+      this.peers.requestFormerGrants(effect.term, effect.formerTerm);
     }
   }
 
@@ -379,7 +379,7 @@
     for (const { service } of catalog.route(host, target)?.destinations ?? []) {
       if (!catalog.service(service)?.isKeyed) continue;
       this.#loads.of(service).record(key, now);
-      this.peers.keyAsked(service, key);
+      this.peers.keyRequested(service, key);
     }
   }
 
--- a/src/core/exchange/peer_exchange.ts
+++ b/src/core/exchange/peer_exchange.ts
@@ -15,7 +15,7 @@
   FollowerLink,
   type HolderAddress,
   type HolderState,
-  type Knowledge,
+  type SenderState,
   MAXIMUM_RATES,
   type MessageOf,
   type PeerMessage,
@@ -41,8 +41,8 @@
 /** See the module's comment. Times are milliseconds of this VM's clock. */
 export class PeerExchange {
   readonly followerLink: FollowerLink;
-  readonly permits: PermitExchange;
-  readonly tokens: TokenExchange;
+  readonly permitExchange: PermitExchange;
+  readonly tokenExchange: TokenExchange;
   readonly #publisher: StatePublisher;
   readonly #stateExchange: StateExchange;
   readonly #configurationWatch: ConfigurationWatch;
@@ -69,8 +69,8 @@
       store,
       emit,
     );
-    this.permits = PermitExchange.create(clusterState, emit, ownAddress);
-    this.tokens = TokenExchange.create(
+    this.permitExchange = PermitExchange.create(clusterState, emit, ownAddress);
+    this.tokenExchange = TokenExchange.create(
       clusterState,
       emit,
       ownAddress,
@@ -122,27 +122,27 @@
   /** Whether this VM receives store updates from the term holder instead of calling the
    * store. Only observers do: they do not stand for election and need nothing else from
    * the store. */
-  isTold(now: number): boolean {
+  hasHolderUpdates(now: number): boolean {
     return this.campaign.isObserver &&
       this.followerLink.isStoreStateCurrent(now);
   }
 
   /** Records a request for a key. Assignments are needed from now on. */
-  keyAsked(service: string, key: number): void {
+  keyRequested(service: string, key: number): void {
     this.#isAssignmentNeeded = true;
     this.followerLink.sampleKey(service, key);
   }
 
   /** Handles a server's refusal of a key that is assigned to it in the local state. */
   keyRefused(): void {
-    this.followerLink.outdated();
+    this.followerLink.expedite();
   }
 
   /** Handles the start or end of a rate limit that a server reported to this VM. Makes
    * the next report due soon so that the other VMs learn of it. */
   rateLimitChanged(change: ServerRateChange, now: number): void {
     this.clusterState.rateLimitChanged(change, now);
-    this.followerLink.outdated();
+    this.followerLink.expedite();
   }
 
   /** When {@linkcode advance} must be called next; Infinity if there is no fixed
@@ -160,8 +160,8 @@
     const { address, fitness } = holder;
     const isOwn = address === this.ownAddress;
     if (!isOwn) this.emit(...this.#publisher.announceSuccessor(holder));
-    this.permits.follow(address, now);
-    this.tokens.follow(address, now);
+    this.permitExchange.follow(address, now);
+    this.tokenExchange.follow(address, now);
     const chance = this.draw();
     this.followerLink.follow(isOwn ? null : address, this.vms, chance, now);
     this.campaign.observeFitness(fitness, now);
@@ -169,7 +169,7 @@
 
   /** Handles a message from the VM at `address`. */
   receive(address: string, message: PeerMessage, now: number): void {
-    const hasHolderUpdates = this.isTold(now);
+    const hasHolderUpdates = this.hasHolderUpdates(now);
     this.#configurationWatch.compare(
       message.configuration,
       hasHolderUpdates,
@@ -227,16 +227,16 @@
       case "permit.asked":
       case "permit.told":
       case "permit.returned":
-        return this.permits.receive(address, message, now);
+        return this.permitExchange.receive(address, message, now);
       case "token.asked":
       case "token.told":
-        return this.tokens.receive(address, message, now);
+        return this.tokenExchange.receive(address, message, now);
     }
   }
 
   /** Handles assignments read from the store. If the holder has written newer ones it
    * is still running, even if it is too busy to answer reports. */
-  recordRead(assignments: readonly Assignment[], now: number): void {
+  assignmentsRead(assignments: readonly Assignment[], now: number): void {
     const { holder, directory } = this.clusterState;
     const { term, version } = directory.position;
     const hasNewer = assignments.some((each) =>
@@ -252,7 +252,7 @@
    * Without them, the new holder must assume that unreachable servers still hold their
    * keys.
    */
-  askFormerHolder(term: number, formerTerm: number): void {
+  requestFormerGrants(term: number, formerTerm: number): void {
     const former = this.clusterState.holder;
     if (former === null || former.term !== formerTerm) return;
     const { version } = this.clusterState.directory.position;
@@ -272,7 +272,7 @@
       now - this.#advancedAt >= SUSPENSION_THRESHOLD &&
       this.#advancedAt > -Infinity
     ) {
-      this.followerLink.outdated();
+      this.followerLink.expedite();
     }
     this.#advancedAt = now;
     this.#stateExchange.advance(
@@ -298,14 +298,14 @@
         position,
         latencies,
         mayFetch,
-        this.isTold(now),
+        this.hasHolderUpdates(now),
         rates,
       ),
     );
   }
 
   /** State to include in a report. If one is due, it contains the quarantine update. */
-  #reportState(now: number): Knowledge {
+  #reportState(now: number): SenderState {
     const state = this.clusterState.knowledge();
     const { holder } = this.followerLink;
     if (holder === null || !this.followerLink.isReportDue(now)) return state;
@@ -319,7 +319,7 @@
       now,
     );
     for (const each of updates) this.#sendQuarantine(each);
-    if (this.#quarantine.isUrgent(this.vms, now)) this.followerLink.outdated();
+    if (this.#quarantine.isUrgent(this.vms, now)) this.followerLink.expedite();
   }
 
   /** Time since the last message from the term holder, in milliseconds; 0 if this VM is
@@ -408,7 +408,7 @@
     this.clusterState.keyLimits.replace(limits, now);
     this.clusterState.fleet.hearLoads(loads, now);
     this.clusterState.hearRates(rates ?? [], now);
-    this.tokens.holderAnswered(rates !== undefined);
+    this.tokenExchange.holderAnswered(rates !== undefined);
   }
 
   #handleReport(
--- a/src/core/peers/follower_link.ts
+++ b/src/core/peers/follower_link.ts
@@ -10,7 +10,7 @@
  * @module
  */
 import type { ServerRate, ServerSamples } from "../fleet/index.ts";
-import type { FollowerReport, Knowledge, PeerSend } from "./peer_message.ts";
+import type { FollowerReport, SenderState, PeerSend } from "./peer_message.ts";
 
 /** Time between two reports, in milliseconds. It limits how soon a busy key is noticed
  * and how old the registry data received from the holder can be. With half of it, busy
@@ -111,7 +111,7 @@
   }
 
   /** Makes the next report due soon because local state appears out of date. */
-  outdated(): void {
+  expedite(): void {
     this.#urgentReport ??= {
       sentAt: Infinity,
       interval: URGENT_REPORT_INTERVAL,
@@ -166,7 +166,7 @@
    */
   advance(
     now: number,
-    senderState: Knowledge,
+    senderState: SenderState,
     position: number | null,
     latencies: readonly ServerSamples[],
     mayFetch: boolean,
@@ -210,7 +210,7 @@
   }
 
   #createReport(
-    senderState: Knowledge,
+    senderState: SenderState,
     position: number | null,
     latencies: readonly ServerSamples[],
     now: number,
--- a/src/core/peers/holder_link.ts
+++ b/src/core/peers/holder_link.ts
@@ -10,7 +10,7 @@
 import type {
   HolderAddress,
   HolderState,
-  Knowledge,
+  SenderState,
   MessageOf,
   PeerMessage,
   PeerSend,
@@ -119,7 +119,7 @@
   /** Sends a follower the configuration in force. */
   sendConfiguration(
     address: string,
-    senderState: Knowledge,
+    senderState: SenderState,
     configuration: Configuration,
   ): PeerSend {
     const message = this.#configurationMessage?.told === configuration
@@ -162,13 +162,13 @@
   }
 
   /** Sends changes of the registry to all followers. */
-  publishRegistry(senderState: Knowledge, registry: RegistryNews): PeerSend[] {
+  publishRegistry(senderState: SenderState, registry: RegistryNews): PeerSend[] {
     return this.#sendToAll({ kind: "servers.told", ...senderState, registry });
   }
 
   /** Sends the address of the new term holder to the followers that receive store
    * updates from this VM, and forgets all followers. */
-  announceSuccessor(senderState: Knowledge, holder: HolderAddress): PeerSend[] {
+  announceSuccessor(senderState: SenderState, holder: HolderAddress): PeerSend[] {
     const message: PeerMessage = {
       kind: "holder.changed",
       ...senderState,
--- a/src/core/peers/peer_message.ts
+++ b/src/core/peers/peer_message.ts
@@ -51,7 +51,7 @@
 });
 
 /** See {@linkcode senderStateSchema}. */
-export type Knowledge = z.infer<typeof senderStateSchema>;
+export type SenderState = z.infer<typeof senderStateSchema>;
 
 /** The holder of a term, its address and fitness. */
 const holderAddressSchema = z.object({
--- a/src/core/peers/state_request.ts
+++ b/src/core/peers/state_request.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import type { Knowledge, PeerSend, QuarantineUpdate } from "./peer_message.ts";
+import type { SenderState, PeerSend, QuarantineUpdate } from "./peer_message.ts";
 
 /** Time between two rounds of requests, in milliseconds. A process cannot serve
  * requests until it has a configuration; one that only falls behind can wait longer. */
@@ -30,7 +30,7 @@
    */
   advance(
     now: number,
-    senderState: Knowledge,
+    senderState: SenderState,
     quarantineUpdate: QuarantineUpdate,
     holder: string | null,
     isStarting: boolean,
--- a/src/core/store_update_follower_test.ts
+++ b/src/core/store_update_follower_test.ts
@@ -152,7 +152,7 @@
     address: HOLDER,
     message: holderAlive(7_000, 0),
   });
-  t.false(entry.peers.isTold(9_000));
+  t.false(entry.peers.hasHolderUpdates(9_000));
 });
 
 test("store updates: an observer without access to the store requests no state from peers", (t) => {
@@ -173,7 +173,7 @@
     address: HOLDER,
     message: holderAlive(5, 0),
   });
-  t.false(entry.peers.isTold(20));
+  t.false(entry.peers.hasHolderUpdates(20));
 });
 
 test("store updates: an observer learns of a new holder from the previous one", (t) => {
@@ -193,7 +193,7 @@
   });
   t.is(entry.peers.followerLink.holder, "next:1");
   t.true(
-    entry.peers.isTold(2_000),
+    entry.peers.hasHolderUpdates(2_000),
     "a change of the holder does not switch feeds on",
   );
 });
