--- a/bench/scaling.ts
+++ b/bench/scaling.ts
@@ -103,8 +103,8 @@
 ): void {
   const { entry, step } = createEntry(servers, isKeyed);
   for (let i = 0; i < crashRecords; i++) {
-    const { whole } = fingerprintOf(`/accused/${i}`);
-    entry.beliefs.quarantine.accuse(whole, "h/accused", "server#1", 1_000);
+    const { complete: whole } = fingerprintOf(`/accused/${i}`);
+    entry.beliefs.quarantine.recordCrash(whole, "h/accused", "server#1", 1_000);
   }
   let now = 1_000;
   const run = (count: number) => {
@@ -166,7 +166,7 @@
   };
   const steps = {
     head: () => void create().head,
-    whole: () => void create().whole,
+    whole: () => void create().complete,
   };
   for (const [part, run] of Object.entries(steps)) {
     for (let i = 0; i < REQUESTS / 20; i++) run();
--- a/src/core/beliefs.ts
+++ b/src/core/beliefs.ts
@@ -8,16 +8,16 @@
 import type { EntryEffect } from "./entry_effect.ts";
 import {
   type EvacuationChange,
-  type EvacuationNews,
+  type EvacuationSnapshot,
   type EvacuationRead,
   Fleet,
   type FleetChange,
-  type ServerRate,
-  type ServerRateChange,
+  type ServerRateLimit,
+  type ServerRateLimitChange,
 } from "./fleet/index.ts";
 import { type Assignment, KeyDirectory, KeyLimits } from "./keyspace/index.ts";
 import type { HolderAddress, SenderState } from "./peers/index.ts";
-import { type Accusation, CrashWatch, Quarantine } from "./quarantine/index.ts";
+import { type CrashAttribution, CrashDetector, Quarantine } from "./quarantine/index.ts";
 import { RegistryReplica } from "./registry/index.ts";
 
 /** Queues effects for the runtime to carry out. */
@@ -41,7 +41,7 @@
       runs: crashes.runs.join(" "),
     })
   );
-  readonly crashDetector = CrashWatch.create(
+  readonly crashDetector = CrashDetector.create(
     this.quarantine,
     (crash) => this.#reportCrash(crash),
   );
@@ -49,14 +49,14 @@
 
   private constructor(
     private readonly emit: Emit,
-    private readonly serverEnded: (crash: Accusation) => void,
+    private readonly serverEnded: (crash: CrashAttribution) => void,
   ) {}
 
   /** Creates an empty state that passes its effects to `emit`. `serverEnded` is called
    * for each request that a server was running when the server ended. */
   static create(
     emit: Emit,
-    serverEnded: (crash: Accusation) => void = () => {},
+    serverEnded: (crash: CrashAttribution) => void = () => {},
   ): Beliefs {
     return new Beliefs(emit, serverEnded);
   }
@@ -69,7 +69,7 @@
   /** Versions of the state that this VM has, as messages to other VMs carry them. */
   knowledge(position = this.directory.position): SenderState {
     const { term, version } = position;
-    const evacuation = this.fleet.evacuations.news;
+    const evacuation = this.fleet.evacuations.snapshot;
     return {
       term,
       version,
@@ -90,17 +90,17 @@
 
   /** Applies evacuated zones that were read from the store. */
   applyStoredEvacuations(read: EvacuationRead, now: number): void {
-    this.#applyEvacuation(this.fleet.evacuations.read(read), now);
+    this.#applyEvacuation(this.fleet.evacuations.applyRead(read), now);
   }
 
   /** Applies evacuated zones that another VM has sent. */
-  evacuationsTold(snapshot: EvacuationNews, now: number): void {
-    this.#applyEvacuation(this.fleet.evacuations.learn(snapshot), now);
+  evacuationsTold(snapshot: EvacuationSnapshot, now: number): void {
+    this.#applyEvacuation(this.fleet.evacuations.applySnapshot(snapshot), now);
   }
 
   #applyEvacuation(change: EvacuationChange, now: number): void {
     const { position } = this.fleet.evacuations;
-    this.fleet.evacuate(change, now);
+    this.fleet.applyEvacuations(change, now);
     for (const zone of change.evacuated) {
       this.note("zone.evacuated", { zone, position });
     }
@@ -110,17 +110,17 @@
   }
 
   /** Applies rate limits that other VMs have received from servers. */
-  hearRates(rates: readonly ServerRate[], now: number): void {
-    const changes = this.fleet.hearRates(rates, now);
+  hearRates(rates: readonly ServerRateLimit[], now: number): void {
+    const changes = this.fleet.applyPeerRateLimits(rates, now);
     for (const each of changes) this.rateLimitChanged(each, now);
   }
 
   /** Logs the start or the end of a server's rate limit. */
-  rateLimitChanged({ server, change }: ServerRateChange, now: number): void {
+  rateLimitChanged({ server, change }: ServerRateLimitChange, now: number): void {
     this.note(`server.${change}`, {
       server: server.id,
       service: server.entry.service,
-      requestsPerSecond: server.rate.current(now),
+      requestsPerSecond: server.rateLimit.current(now),
     });
   }
 
@@ -146,7 +146,7 @@
   /** Handles the return of the store after an outage: servers whose registry entries
    * expired during the outage get time to register again. */
   storeRegained(now: number): void {
-    this.fleet.regained(now);
+    this.fleet.recovered(now);
     this.note("store.regained", {});
   }
 
@@ -188,15 +188,15 @@
     return true;
   }
 
-  #reportCrash(crash: Accusation): void {
-    const { request, server, isNews } = crash;
+  #reportCrash(crash: CrashAttribution): void {
+    const { request, server, isNew: isNews } = crash;
     this.serverEnded(crash);
     if (!isNews) return;
     this.note("request.accused", {
       request: request.id,
       server,
       fingerprint: request.fingerprint,
-      ends: this.quarantine.endsUnder(request.fingerprint),
+      ends: this.quarantine.crashCountOf(request.fingerprint),
     });
   }
 
--- a/src/core/dispatch/cold_admission.ts
+++ b/src/core/dispatch/cold_admission.ts
@@ -44,7 +44,7 @@
   maySend(server: TrackedServer, now: number): boolean {
     const interval = this.#interval(server, now);
     if (interval === null) return true;
-    return this.rateShare.mayTake(server.id, interval, now);
+    return this.rateShare.maySend(server.id, interval, now);
   }
 
   /** Records that a request was sent to a server. */
--- a/src/core/dispatch/cold_admission_test.ts
+++ b/src/core/dispatch/cold_admission_test.ts
@@ -136,9 +136,9 @@
   const fleet = fleetWith(0, 0);
   const server = fleet.get("s")!;
   const zone = server.entry.availabilityZone;
-  fleet.evacuate({ evacuated: [zone], restored: [] }, 100);
+  fleet.applyEvacuations({ evacuated: [zone], restored: [] }, 100);
   t.true(server.isLeaving);
-  fleet.evacuate({ evacuated: [], restored: [zone] }, 5_000);
+  fleet.applyEvacuations({ evacuated: [], restored: [zone] }, 5_000);
   t.false(server.isLeaving);
   t.false(admission.maySend(server, 5_001));
   t.true(admission.maySend(server, 5_000 + WARM_UP));
@@ -149,7 +149,7 @@
   const admission = ColdAdmission.create(catalog, () => 61, () => 0.5);
   const server = fleetWith(0, 0).get("s")!;
   server.started(1, 0);
-  server.gone();
+  server.connectionRefused();
   server.failed(1, 1);
   t.false(admission.maySend(server, 20_000));
   // However long ago the refused connection was, the first requests are limited.
@@ -175,7 +175,7 @@
       availabilityZone: fleet.get("s")!.entry.availabilityZone,
       vms: 1,
       cold,
-      tokens: RateTokens.create({ ask: () => null }, () => 1, () => 0.5),
+      tokens: RateTokens.create({ requestToken: () => null }, () => 1, () => 0.5),
       isUrgent: true,
       draw: () => 0.5,
     })!;
--- a/src/core/dispatch/dispatch_context.ts
+++ b/src/core/dispatch/dispatch_context.ts
@@ -4,10 +4,10 @@
  * @module
  */
 import type { Catalog } from "../catalog/index.ts";
-import type { Fleet, ServerRateChange } from "../fleet/index.ts";
+import type { Fleet, ServerRateLimitChange } from "../fleet/index.ts";
 import type { KeyDirectory, KeyLimits } from "../keyspace/index.ts";
 import type {
-  CrashWatch,
+  CrashDetector,
   Quarantine,
   RunPermits,
 } from "../quarantine/index.ts";
@@ -22,7 +22,7 @@
   directory: KeyDirectory;
   keyLimits: KeyLimits;
   quarantine: Quarantine;
-  crashes: CrashWatch;
+  crashes: CrashDetector;
   permits: RunPermits;
   cold: ColdAdmission;
   tokens: RateTokens;
@@ -35,7 +35,7 @@
   /** Reports that a server refused a key that is assigned to it in `directory`. */
   keyRefused(): void;
   /** Reports that the rate limit of a server has begun, changed or ended. */
-  rateLimitChanged(change: ServerRateChange, now: number): void;
+  rateLimitChanged(change: ServerRateLimitChange, now: number): void;
   /** A number in [0, 1). */
   draw(): number;
 }
--- a/src/core/dispatch/dispatch_effect.ts
+++ b/src/core/dispatch/dispatch_effect.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-import type { ServerCheck } from "../quarantine/index.ts";
+import type { ServerProbe } from "../quarantine/index.ts";
 
 /** Sends a request to a server; an `attempt.ended` event reports the outcome. */
 export interface AttemptStart {
@@ -54,5 +54,5 @@
   | AttemptCancel
   | Delivery
   | Refusal
-  | ServerCheck
+  | ServerProbe
   | Note;
--- a/src/core/dispatch/dispatch_planner.ts
+++ b/src/core/dispatch/dispatch_planner.ts
@@ -131,7 +131,7 @@
     };
     const server = chooseServer(request.service, request.tried, now, context);
     if (server !== null) return { kind: "server", server };
-    const servers = fleet.of(request.service);
+    const servers = fleet.serversOf(request.service);
     const usable = servers.filter((each) => !each.isLeaving);
     if (servers.length > 0 && usable.length === 0) {
       return rejection("all servers of the service are leaving");
@@ -149,8 +149,8 @@
   #checkPermit(request: PendingRequest, now: number): DispatchPlan | null {
     const { quarantine, permits } = this.context;
     const { fingerprint, id } = request.arrival;
-    if (quarantine.ends(fingerprint) === 0) return null;
-    const { whole } = fingerprint;
+    if (quarantine.crashCount(fingerprint) === 0) return null;
+    const { complete: whole } = fingerprint;
     const remaining = request.deadline - now;
     const permission = permits.check(whole, id, remaining, now);
     switch (permission.kind) {
--- a/src/core/dispatch/dispatcher.ts
+++ b/src/core/dispatch/dispatcher.ts
@@ -556,8 +556,8 @@
     deliveredAttempt: number | null,
   ): void {
     const { quarantine, permits } = this.context;
-    if (!quarantine.isKnown(arrival.fingerprint)) return;
-    const { whole } = arrival.fingerprint;
+    if (!quarantine.hasRecord(arrival.fingerprint)) return;
+    const { complete: whole } = arrival.fingerprint;
     const mayStillRun = deliveredAttempt === null && sentCount > 0;
     permits.ended(whole, arrival.id, mayStillRun);
   }
--- a/src/core/dispatch/dispatcher_test.ts
+++ b/src/core/dispatch/dispatcher_test.ts
@@ -6,7 +6,7 @@
 import { Fleet } from "../fleet/index.ts";
 import { KeyDirectory, KeyLimits } from "../keyspace/index.ts";
 import {
-  CrashWatch,
+  CrashDetector,
   type PermitAnswer,
   Quarantine,
   RunPermits,
@@ -86,13 +86,13 @@
   assign(1, true);
   const keyLimits = KeyLimits.create();
   const quarantine = Quarantine.create();
-  const crashes = CrashWatch.create(quarantine, () => {});
+  const crashes = CrashDetector.create(quarantine, () => {});
   const permits = RunPermits.create({
-    ask: () => permitAnswer(),
-    giveBack: () => {},
+    requestPermit: () => permitAnswer(),
+    release: () => {},
   });
   const tokens = RateTokens.create(
-    { ask: () => tokenAnswer() },
+    { requestToken: () => tokenAnswer() },
     () => vms,
     draw,
   );
@@ -316,13 +316,13 @@
       () => {},
       () => answer,
     );
-    quarantine.accuse(fingerprintOf(path).whole, path, "s#1", 0);
+    quarantine.recordCrash(fingerprintOf(path).complete, path, "s#1", 0);
     t.is(arrive(path, 10)[0].kind, "attempt.start");
     // A second copy at this VM, and a copy whose permit is denied.
     t.regex(summarize(arrive(path, 20))[0], /^503, .* another copy of it runs/);
     answer = { isGranted: false, left: 500 };
     const other = createDispatcher(8, () => 0, () => {}, () => answer);
-    other.quarantine.accuse(fingerprintOf(path).whole, path, "s#1", 0);
+    other.quarantine.recordCrash(fingerprintOf(path).complete, path, "s#1", 0);
     t.regex(
       summarize(other.arrive(path, 10))[0],
       /^503, .* another copy of it runs/,
@@ -335,21 +335,21 @@
   const other = { ...servers[4], availabilityZone: "left" };
   fleet.apply([other], [], 0);
   const zone = servers[5].availabilityZone;
-  fleet.evacuate({ evacuated: [zone], restored: [] }, 0);
+  fleet.applyEvacuations({ evacuated: [zone], restored: [] }, 0);
   t.deepEqual(summarize(arrive("/read/", 1)), ["start reads-1, 500 ms left"]);
   // All servers of this service are in the evacuated zone.
   t.regex(
     summarize(arrive("/order/", 1))[0],
     /^503, all servers .* are leaving/,
   );
-  fleet.evacuate({ evacuated: [], restored: [zone] }, 2_000);
+  fleet.applyEvacuations({ evacuated: [], restored: [zone] }, 2_000);
   t.is(summarize(arrive("/order/", 2_001)).length, 1);
 });
 
 test("dispatch: requests for keys in an evacuated zone are sent there only for a limited time", (t) => {
   const { arrive, fleet, servers } = createDispatcher();
   const zone = servers[0].availabilityZone;
-  fleet.evacuate({ evacuated: [zone], restored: [] }, 0);
+  fleet.applyEvacuations({ evacuated: [zone], restored: [] }, 0);
   t.deepEqual(summarize(arrive("/lookup/", 3_000)), [
     "start stock-1, 500 ms left",
   ]);
@@ -364,7 +364,7 @@
     () => {},
     () => null,
   );
-  quarantine.accuse(fingerprintOf("/read/").whole, "/read/", "s#1", 0);
+  quarantine.recordCrash(fingerprintOf("/read/").complete, "/read/", "s#1", 0);
   t.deepEqual(summarize(arrive("/read/", 0)), []);
   let answers: string[] = [];
   let now = 0;
@@ -588,10 +588,10 @@
     directory: KeyDirectory.create(),
     keyLimits: KeyLimits.create(),
     quarantine,
-    crashes: CrashWatch.create(quarantine, () => {}),
-    permits: RunPermits.create({ ask: () => null, giveBack: () => {} }),
+    crashes: CrashDetector.create(quarantine, () => {}),
+    permits: RunPermits.create({ requestPermit: () => null, release: () => {} }),
     cold: ColdAdmission.create(catalog, () => null, () => 0),
-    tokens: RateTokens.create({ ask: () => null }, () => null, () => 0),
+    tokens: RateTokens.create({ requestToken: () => null }, () => null, () => 0),
     availabilityZone: "a",
     retryLimits: { ratio: 0.2, windowSeconds: 10, minimum: 50 },
     startedAt: () => -Infinity,
@@ -646,7 +646,7 @@
  * on. */
 function quarantineRequest(quarantine: Quarantine, path: string): void {
   for (const run of ["a#1", "b#1", "c#1"]) {
-    quarantine.accuse(fingerprintOf(path).whole, path, run, 0);
+    quarantine.recordCrash(fingerprintOf(path).complete, path, run, 0);
   }
 }
 
@@ -682,7 +682,7 @@
 test("dispatch: a request that terminated two servers is not retried", (t) => {
   const { dispatcher, arrive, quarantine } = createDispatcher();
   for (const run of ["a#1", "b#1"]) {
-    quarantine.accuse(fingerprintOf("/read/ends").whole, "", run, 0);
+    quarantine.recordCrash(fingerprintOf("/read/ends").complete, "", run, 0);
   }
   arrive("/read/ends", 1_000);
   t.deepEqual(summarize(dispatcher.attemptEnded(1, LOST, 1_010)), [
@@ -693,10 +693,10 @@
 test("dispatch: a response below 500 clears the record of a request, a server error does not", (t) => {
   for (const [status, ends] of [[200, 0], [404, 0], [500, 1], [504, 1]]) {
     const { dispatcher, arrive, quarantine } = createDispatcher();
-    quarantine.accuse(fingerprintOf("/order/x").whole, "", "a#1", 0);
+    quarantine.recordCrash(fingerprintOf("/order/x").complete, "", "a#1", 0);
     arrive("/order/x", 10);
     dispatcher.attemptEnded(1, { ...ANSWERED, status }, 20);
-    t.is(quarantine.ends(fingerprintOf("/order/x")), ends);
+    t.is(quarantine.crashCount(fingerprintOf("/order/x")), ends);
   }
 });
 
@@ -739,7 +739,7 @@
     undefined,
     denied,
   );
-  fleet.get("stock-1")!.rate.answered(2, 0, 0);
+  fleet.get("stock-1")!.rateLimit.answered(2, 0, 0);
   const [refusal] = summarize(arrive("/lookup/", 10));
   t.regex(
     refusal,
@@ -756,12 +756,12 @@
     undefined,
     denied,
   );
-  fleet.get("orders-1")!.rate.answered(2, 0, 0);
+  fleet.get("orders-1")!.rateLimit.answered(2, 0, 0);
   t.deepEqual(summarize(arrive("/order/", 10)), [
     "start orders-2, 500 ms left",
   ]);
-  fleet.get("reads-1")!.rate.answered(2, 0, 11);
-  fleet.get("reads-2")!.rate.answered(2, 0, 11);
+  fleet.get("reads-1")!.rateLimit.answered(2, 0, 11);
+  fleet.get("reads-2")!.rateLimit.answered(2, 0, 11);
   const effects = [...arrive("/read/", 12), ...dispatcher.advance(13)];
   t.regex(
     summarize(effects)[0],
@@ -771,9 +771,9 @@
 
 test("dispatch: a waiting request is sent once its token is granted", (t) => {
   const { arrive, fleet, dispatcher, tokens } = createDispatcher();
-  fleet.get("stock-1")!.rate.answered(2, 0, 0);
+  fleet.get("stock-1")!.rateLimit.answered(2, 0, 0);
   t.deepEqual(summarize(arrive("/lookup/", 10)), []);
-  tokens.told("stock-1", { isGranted: true, left: 0 }, 13);
+  tokens.applyAnswer("stock-1", { isGranted: true, left: 0 }, 13);
   t.deepEqual(summarize(dispatcher.advance(13)), [
     "start stock-1, 497 ms left",
   ]);
--- a/src/core/dispatch/outcome_review.ts
+++ b/src/core/dispatch/outcome_review.ts
@@ -118,7 +118,7 @@
     const isTrusted = (isGenuine || isNotRun) &&
       (respondingServer ?? id) === id;
     if (!isTrusted || rateLimit === undefined || !server?.has(number)) return;
-    const change = server.rate.answered(rateLimit, startedAt, now);
+    const change = server.rateLimit.answered(rateLimit, startedAt, now);
     if (change !== null) {
       this.context.rateLimitChanged({ server, change }, now);
     }
@@ -167,9 +167,9 @@
     const request = {
       id,
       target: `${host}${arrival.target}`,
-      fingerprint: fingerprint.whole,
+      fingerprint: fingerprint.complete,
     };
-    const check = crashes.broke(server, request, now);
+    const check = crashes.connectionBroke(server, request, now);
     if (check !== null) this.emit(check);
   }
 
@@ -209,7 +209,7 @@
     if (wasSent) this.#recordBrokenAttempt(request, attempt, now);
     else if (isRefused) {
       this.#recordServerEnd(server, attempt, now);
-      if (server?.has(attempt.number)) server.gone();
+      if (server?.has(attempt.number)) server.connectionRefused();
     }
     server?.failed(attempt.number, now);
     if (wasSent) return retryOrFail(request, attempt, cause, now);
@@ -237,7 +237,7 @@
 ): NextStep {
   request.mayHaveRun = true;
   request.retryNotBefore = now + BROKEN_ATTEMPT_DELAY;
-  const fingerprint = request.arrival.fingerprint.whole;
+  const fingerprint = request.arrival.fingerprint.complete;
   const detail = { server, cause, fingerprint };
   const fail: NextStep = { kind: "fail", reason: cause, detail };
   return request.route.isIdempotent
--- a/src/core/dispatch/retry_after_policy.ts
+++ b/src/core/dispatch/retry_after_policy.ts
@@ -74,7 +74,7 @@
     { arrivedAt, service, route }: PendingRequest,
     now: number,
   ): number | null {
-    const meanLatency = this.context.fleet.usualLatency(service, now);
+    const meanLatency = this.context.fleet.meanLatency(service, now);
     // Time that is left within the target for the delay, the network and queueing.
     const slack = arrivedAt + route.targetLatency - now - meanLatency;
     if (slack < MINIMUM_SLACK_SHARE * route.targetLatency) return null;
--- a/src/core/dispatch/retry_policy.ts
+++ b/src/core/dispatch/retry_policy.ts
@@ -42,7 +42,7 @@
     const { fingerprint } = request.arrival;
     if (request.isDeadlineUncertain) return false;
     // After two terminated servers only the caller may send the request again.
-    if (this.context.quarantine.ends(fingerprint) >= ENDS_TO_STOP_RETRIES) {
+    if (this.context.quarantine.crashCount(fingerprint) >= ENDS_TO_STOP_RETRIES) {
       return false;
     }
     // A request with a key may have one more attempt, since they all go to one server.
@@ -56,7 +56,7 @@
   mayHedge(request: PendingRequest, now: number): boolean {
     if (request.tried.length >= request.route.maximumAttempts) return false;
     const { fingerprint } = request.arrival;
-    if (this.context.quarantine.ends(fingerprint) > 0) return false;
+    if (this.context.quarantine.crashCount(fingerprint) > 0) return false;
     return this.#isWorthwhile(request, now);
   }
 
@@ -64,7 +64,7 @@
   hedgeAt(request: PendingRequest, now: number): number {
     const { isIdempotent, targetLatency } = request.route;
     if (!isIdempotent || request.key !== null) return Infinity;
-    const meanLatency = this.context.fleet.usualLatency(request.service, now);
+    const meanLatency = this.context.fleet.meanLatency(request.service, now);
     return now +
       Math.max(
         HEDGE_LATENCY_FACTOR * meanLatency,
@@ -86,7 +86,7 @@
 
   /** Whether a response before the deadline is still likely. */
   #isWorthwhile(request: PendingRequest, now: number): boolean {
-    const meanLatency = this.context.fleet.usualLatency(request.service, now);
+    const meanLatency = this.context.fleet.meanLatency(request.service, now);
     return request.deadline - now > meanLatency / 2;
   }
 
--- a/src/core/dispatch/server_choice.ts
+++ b/src/core/dispatch/server_choice.ts
@@ -87,12 +87,12 @@
   context: ChoiceContext,
 ): TrackedServer | null {
   const { fleet, vms, cold, tokens } = context;
-  const meanLatency = fleet.usualLatency(service, now);
-  const usable = sample(fleet.of(service), context.draw).filter((server) =>
+  const meanLatency = fleet.meanLatency(service, now);
+  const usable = sample(fleet.serversOf(service), context.draw).filter((server) =>
     !server.isLeaving && !tried.includes(server.id)
   );
   const healthy = usable.filter((server) =>
-    !server.isPaused(now) && !server.isSilent(now, meanLatency)
+    !server.isPaused(now) && !server.isUnresponsive(now, meanLatency)
   );
   const pool = healthy.length > 0 ? healthy : usable;
   const candidates = pool.filter((server) =>
@@ -125,7 +125,7 @@
   now: number,
   { tokens, isUrgent }: ChoiceContext,
 ): void {
-  const next = servers.find((each) => tokens.mayAsk(each, isUrgent, now));
+  const next = servers.find((each) => tokens.mayRequest(each, isUrgent, now));
   if (next !== undefined) tokens.check(next, isUrgent, now);
 }
 
--- a/src/core/entry.ts
+++ b/src/core/entry.ts
@@ -238,7 +238,7 @@
         );
       case "server.checked": {
         const { crashDetector, fleet } = this.beliefs;
-        if (!event.isRefused) return crashDetector.found(event.server);
+        if (!event.isRefused) return crashDetector.probeSucceeded(event.server);
         return crashDetector.ended(fleet.get(event.server), now);
       }
       case "callers.closed":
@@ -325,14 +325,14 @@
     const { fleet, registry } = this.beliefs;
     const { read, sentAt, now } = event;
     const { entries, removed, unreadable, isWhole } = read;
-    if (!registry.read(read, sentAt)) return;
+    if (!registry.applyRead(read, sentAt)) return;
     this.beliefs.changeServers(
       isWhole
         ? fleet.replace(entries, now, unreadable)
         : fleet.apply(entries, removed, now, unreadable),
       now,
     );
-    fleet.confirm((id) => registry.isListed(id), now);
+    fleet.confirmPeerEntries((id) => registry.isListed(id), now);
   }
 
   /** Handles a jump of the clock. If this VM was suspended, updates sent to it meanwhile
--- a/src/core/entry_status.ts
+++ b/src/core/entry_status.ts
@@ -85,7 +85,7 @@
       isWarming: server.isWarming(now),
       inFlight: server.inFlight,
       latency: server.latency,
-      rateLimit: server.rate.current(now),
+      rateLimit: server.rateLimit.current(now),
     })),
     evacuatedZones: entry.beliefs.fleet.evacuations.zones,
     assignments: entry.beliefs.directory.assignments.map((each) => ({
--- a/src/core/exchange/crowding_watch.ts
+++ b/src/core/exchange/crowding_watch.ts
@@ -58,7 +58,7 @@
     const loads = services.flatMap((service) => this.#fullServers(service, now))
       .slice(0, MAXIMUM_LOADS);
     this.#logChanges(limits);
-    const rates = fleet.statedRates(now).slice(0, MAXIMUM_RATES);
+    const rates = fleet.reportedRateLimits(now).slice(0, MAXIMUM_RATES);
     this.#current = { limits, loads, rates };
     keyLimits.replace(limits, now);
   }
@@ -78,8 +78,8 @@
   }
 
   #fullServers(service: string, now: number): OverloadState["loads"] {
-    return this.clusterState.fleet.of(service).flatMap((server) => {
-      const reportedLoad = server.statedLoad(now);
+    return this.clusterState.fleet.serversOf(service).flatMap((server) => {
+      const reportedLoad = server.latestLoadReport(now);
       const minimum = server.entry.slots * LOAD_THRESHOLD;
       if (reportedLoad === null || reportedLoad.requests < minimum) return [];
       return [{ server: server.id, ...reportedLoad }];
--- a/src/core/exchange/peer_exchange.ts
+++ b/src/core/exchange/peer_exchange.ts
@@ -5,8 +5,8 @@
  */
 import type { Beliefs, Emit } from "../beliefs.ts";
 import type {
-  ServerRate,
-  ServerRateChange,
+  ServerRateLimit,
+  ServerRateLimitChange,
   ServerSamples,
 } from "../fleet/index.ts";
 import type { Assignment, KeyLoads, TermCampaign } from "../keyspace/index.ts";
@@ -25,7 +25,7 @@
 import { PermitExchange } from "./permit_exchange.ts";
 import { StateExchange } from "./state_exchange.ts";
 import { TokenExchange } from "./token_exchange.ts";
-import type { RegistryNews } from "../registry/index.ts";
+import type { RegistryUpdate } from "../registry/index.ts";
 import type { StoreHealth } from "../store_health.ts";
 import {
   QuarantineExchange,
@@ -140,7 +140,7 @@
 
   /** Handles the start or end of a rate limit that a server reported to this VM. Makes
    * the next report due soon so that the other VMs learn of it. */
-  rateLimitChanged(change: ServerRateChange, now: number): void {
+  rateLimitChanged(change: ServerRateLimitChange, now: number): void {
     this.clusterState.rateLimitChanged(change, now);
     this.followerLink.expedite();
   }
@@ -353,23 +353,23 @@
   }
 
   /** Rate limits to include in the report, if one is due. */
-  #takeRates(now: number): ServerRate[] {
+  #takeRates(now: number): ServerRateLimit[] {
     if (!this.followerLink.isReportDue(now)) return [];
-    return this.clusterState.fleet.takeRates(now).slice(0, MAXIMUM_RATES);
+    return this.clusterState.fleet.takeUnsentRateLimits(now).slice(0, MAXIMUM_RATES);
   }
 
-  #applyRegistry(update: RegistryNews | null, now: number): void {
+  #applyRegistry(update: RegistryUpdate | null, now: number): void {
     const { registry, fleet } = this.clusterState;
-    const changes = update === null ? null : registry.take(update);
+    const changes = update === null ? null : registry.applyUpdate(update);
     if (changes === null) return;
     // The store may have recovered without this VM noticing. Servers whose entries
     // expired during the outage get time to register again.
-    if (this.store.isLost && changes.removed.length > 0) fleet.regained(now);
+    if (this.store.isLost && changes.removed.length > 0) fleet.recovered(now);
     this.clusterState.changeServers(
       fleet.apply(changes.entries, changes.removed, now, changes.unreadable),
       now,
     );
-    fleet.confirm((id) => registry.isListed(id), now);
+    fleet.confirmPeerEntries((id) => registry.isListed(id), now);
   }
 
   #applyHolderState(
@@ -406,7 +406,7 @@
   ): void {
     if (address !== this.followerLink.holder) return;
     this.clusterState.keyLimits.replace(limits, now);
-    this.clusterState.fleet.hearLoads(loads, now);
+    this.clusterState.fleet.applyPeerLoads(loads, now);
     this.clusterState.hearRates(rates ?? [], now);
     this.tokenExchange.holderAnswered(rates !== undefined);
   }
--- a/src/core/exchange/permit_exchange.ts
+++ b/src/core/exchange/permit_exchange.ts
@@ -10,7 +10,7 @@
 import type { Beliefs, Emit } from "../beliefs.ts";
 import type { MessageOf } from "../peers/index.ts";
 import {
-  LONGEST_PERMIT,
+  MAXIMUM_PERMIT,
   type PermitAnswer,
   PermitIssuer,
   RunPermits,
@@ -33,9 +33,9 @@
     private readonly ownAddress: string,
   ) {
     this.permits = RunPermits.create({
-      ask: (request, duration, now) =>
+      requestPermit: (request, duration, now) =>
         this.#requestPermit(request, duration, now),
-      giveBack: (request, hasEnded) => this.#returnPermit(request, hasEnded),
+      release: (request, hasEnded) => this.#returnPermit(request, hasEnded),
     });
   }
 
@@ -74,9 +74,9 @@
       }
       case "permit.told":
         if (address !== this.clusterState.holder?.address) return;
-        return this.permits.told(request, message, now);
+        return this.permits.applyAnswer(request, message, now);
       case "permit.returned":
-        return this.#issuer.returned(request, address, message.hasEnded);
+        return this.#issuer.released(request, address, message.hasEnded);
     }
   }
 
@@ -87,7 +87,7 @@
   ): PermitAnswer | null {
     const address = this.clusterState.holder?.address;
     if (address === undefined) {
-      return { isGranted: false, left: LONGEST_PERMIT };
+      return { isGranted: false, left: MAXIMUM_PERMIT };
     }
     if (address === this.ownAddress) {
       return this.#issuer.issue(request, address, duration, now);
@@ -109,7 +109,7 @@
     const address = this.clusterState.holder?.address;
     if (address === undefined) return;
     if (address === this.ownAddress) {
-      return this.#issuer.returned(request, address, hasEnded);
+      return this.#issuer.released(request, address, hasEnded);
     }
     this.emit({
       kind: "peer.send",
--- a/src/core/exchange/permit_exchange_test.ts
+++ b/src/core/exchange/permit_exchange_test.ts
@@ -5,12 +5,12 @@
 } from "../../../test/support/peer_messages.ts";
 import { Beliefs } from "../beliefs.ts";
 import type { PeerSend } from "../peers/index.ts";
-import { LONGEST_PERMIT } from "../quarantine/index.ts";
+import { MAXIMUM_PERMIT } from "../quarantine/index.ts";
 import { PermitExchange, type PermitMessage } from "./permit_exchange.ts";
 
 const REQUEST = "fingerprint";
 /** When the issuer starts to issue permits. */
-const ISSUING_FROM = LONGEST_PERMIT;
+const ISSUING_FROM = MAXIMUM_PERMIT;
 
 interface Vm {
   address: string;
--- a/src/core/exchange/quarantine_exchange.ts
+++ b/src/core/exchange/quarantine_exchange.ts
@@ -144,8 +144,8 @@
     if (now - answeredAt < ANSWER_INTERVAL) return null;
     peer.answeredAt = now;
     const recordsToSend = isNew
-      ? this.quarantine.suspects(now)
-      : this.quarantine.notable(now);
+      ? this.quarantine.startupRecords(now)
+      : this.quarantine.replicatedRecords(now);
     const update = { digest: null, records: recordsToSend };
     return update.records.length === 0 ? null : { address, update };
   }
--- a/src/core/exchange/quarantine_exchange_test.ts
+++ b/src/core/exchange/quarantine_exchange_test.ts
@@ -23,7 +23,7 @@
 
 /** Records at a VM that the server incarnation `run` crashed during the request. */
 function crash({ quarantine }: Vm, run: string, now: number): void {
-  quarantine.accuse(REQUEST.whole, "h/ends", run, now);
+  quarantine.recordCrash(REQUEST.complete, "h/ends", run, now);
 }
 
 /** Delivers updates and the answers to them. */
--- a/src/core/exchange/quarantine_record.ts
+++ b/src/core/exchange/quarantine_record.ts
@@ -54,10 +54,10 @@
   /** Returns the write that is due on the term holder, or null. */
   advance(now: number): QuarantineWrite | null {
     if (this.#writing !== null || now < this.#dueAt) return null;
-    const { recordRevision } = this.quarantine;
+    const { persistentRevision: recordRevision } = this.quarantine;
     if (recordRevision === this.#revision) return null;
     this.#revision = recordRevision;
-    const records = this.quarantine.recordable(now);
+    const records = this.quarantine.persistentRecords(now);
     const keys = records.map(keyOf);
     if (keys.every((key) => this.#recorded.has(key))) return null;
     this.#writing = new Set(keys);
--- a/src/core/exchange/quarantine_record_test.ts
+++ b/src/core/exchange/quarantine_record_test.ts
@@ -10,9 +10,9 @@
 function createRecord() {
   const quarantine = Quarantine.create();
   const record = QuarantineRecord.create(quarantine);
-  const quarantineRequest = (request = REQUEST.whole) => {
+  const quarantineRequest = (request = REQUEST.complete) => {
     for (const run of ["a#1", "b#1", "c#1"]) {
-      quarantine.accuse(request, "h/ends", run, 0);
+      quarantine.recordCrash(request, "h/ends", run, 0);
     }
     quarantine.expire(QUARANTINED_AT);
   };
--- a/src/core/exchange/state_exchange.ts
+++ b/src/core/exchange/state_exchange.ts
@@ -93,7 +93,7 @@
     if (!this.store.isLost && clusterState.catalog.isKnown) return null;
     const { configuration, servers, assignments, holder } = state;
     if (configuration !== undefined) clusterState.configure(configuration);
-    clusterState.changeServers(clusterState.fleet.learn(servers, now), now);
+    clusterState.changeServers(clusterState.fleet.applyPeerEntries(servers, now), now);
     clusterState.assign(assignments);
     return holder;
   }
--- a/src/core/exchange/term_publication.ts
+++ b/src/core/exchange/term_publication.ts
@@ -22,7 +22,7 @@
   MessagePacing,
   type PeerSend,
 } from "../peers/index.ts";
-import type { RegistryNews } from "../registry/index.ts";
+import type { RegistryUpdate } from "../registry/index.ts";
 import type { StoreHealth } from "../store_health.ts";
 
 /** Time that a published change may take to reach a follower, in milliseconds. During
@@ -135,8 +135,8 @@
   #recordLatencies({ latencies, position }: FollowerReport, now: number): void {
     const { fleet, registry } = this.clusterState;
     const isOfSameIncarnation = ({ server }: ServerSamples) =>
-      registry.runSince(server) <= (position ?? 0);
-    fleet.observe(latencies.filter(isOfSameIncarnation), now);
+      registry.incarnationSince(server) <= (position ?? 0);
+    fleet.addPeerSamples(latencies.filter(isOfSameIncarnation), now);
   }
 
   /** Sends a follower the configuration if it lacks it. A follower that receives store
@@ -243,7 +243,7 @@
     const since = this.#publishedPosition;
     this.#publishedPosition = registry.position;
     if (since === null || since === registry.position) return;
-    const changes = registry.news(since, null);
+    const changes = registry.updateSince(since, null);
     if (
       changes === null || changes.entries.length + changes.removed.length === 0
     ) {
@@ -257,12 +257,12 @@
   #registryChanges(
     { position, sentAt }: FollowerReport,
     now: number,
-  ): RegistryNews | null {
+  ): RegistryUpdate | null {
     const { registry } = this.clusterState;
     if (position === null) return null;
     // When the registry data was current, on the follower's clock. Its age is
     // subtracted from when the follower sent the report, since messages can be delayed.
-    return registry.news(position, sentAt - (now - registry.knownAt));
+    return registry.updateSince(position, sentAt - (now - registry.knownAt));
   }
 
   #holderState(now: number): HolderState {
--- a/src/core/exchange/term_publication_test.ts
+++ b/src/core/exchange/term_publication_test.ts
@@ -132,7 +132,7 @@
   const restarted = { ...previous, incarnation: 100 };
   const register = (position: number, entry: BackendServer) => {
     const entries = [entry];
-    registry.read({
+    registry.applyRead({
       entries,
       removed: [],
       unreadable: [],
@@ -152,7 +152,7 @@
   reportLatency(6);
   reportLatency(null);
   t.is(fleet.get("i-0")!.latency, null);
-  t.is(fleet.get("i-0")!.aliveAt, -Infinity);
+  t.is(fleet.get("i-0")!.lastSeenAt, -Infinity);
   reportLatency(7);
   t.is(fleet.get("i-0")!.latency, 900);
 });
--- a/src/core/exchange/token_exchange.ts
+++ b/src/core/exchange/token_exchange.ts
@@ -30,7 +30,7 @@
   ) {
     this.tokens = RateTokens.create(
       {
-        ask: (server, isUrgent, now) =>
+        requestToken: (server, isUrgent, now) =>
           this.#requestToken(server, isUrgent, now),
       },
       vmCount,
@@ -66,7 +66,7 @@
     const { server } = message;
     if (message.kind === "token.told") {
       if (address !== this.clusterState.holder?.address) return;
-      return this.tokens.told(server, message, now);
+      return this.tokens.applyAnswer(server, message, now);
     }
     const { requestsPerSecond, isUrgent } = message;
     const limit = this.#limit(server, now) ?? requestsPerSecond;
@@ -112,6 +112,6 @@
   }
 
   #limit(server: string, now: number): number | null {
-    return this.clusterState.fleet.get(server)?.rate.current(now) ?? null;
+    return this.clusterState.fleet.get(server)?.rateLimit.current(now) ?? null;
   }
 }
--- a/src/core/exchange/token_exchange_test.ts
+++ b/src/core/exchange/token_exchange_test.ts
@@ -22,7 +22,7 @@
     const clusterState = Beliefs.create(emit);
     clusterState.fleet.apply([backendServer("s")], [], 0);
     const server = clusterState.fleet.get("s")!;
-    server.rate.answered(1_000 / TOKEN_INTERVAL, 0, 0);
+    server.rateLimit.answered(1_000 / TOKEN_INTERVAL, 0, 0);
     const exchange = TokenExchange.create(
       clusterState,
       emit,
--- a/src/core/fleet/evacuations.ts
+++ b/src/core/fleet/evacuations.ts
@@ -15,8 +15,8 @@
 /** Maximum number of evacuated zones; limits memory if an operator's input is wrong. */
 const MAXIMUM_ZONES = 256;
 
-/** Schema of {@linkcode EvacuationNews}. */
-export const evacuationNewsSchema = z.object({
+/** Schema of {@linkcode EvacuationSnapshot}. */
+export const evacuationSnapshotSchema = z.object({
   /** Position in the feed at which this state applies. */
   position: z.number().int().nonnegative(),
   /** All evacuated zones. */
@@ -24,7 +24,7 @@
 });
 
 /** The evacuated zones, as one VM sends them to another. */
-export type EvacuationNews = z.infer<typeof evacuationNewsSchema>;
+export type EvacuationSnapshot = z.infer<typeof evacuationSnapshotSchema>;
 
 /** The result of a read of the feed. */
 export interface EvacuationRead {
@@ -69,13 +69,13 @@
   }
 
   /** The state to send to other VMs; null while none is known. */
-  get news(): EvacuationNews | null {
+  get snapshot(): EvacuationSnapshot | null {
     const { position, zones } = this;
     return position < 0 ? null : { position, zones };
   }
 
   /** Applies the result of a read of the feed. */
-  read(read: EvacuationRead): EvacuationChange {
+  applyRead(read: EvacuationRead): EvacuationChange {
     const { position, evacuated, restored, isWhole } = read;
     if (position < this.#position) return { evacuated: [], restored: [] };
     const kept = isWhole ? [] : this.zones;
@@ -86,7 +86,7 @@
   }
 
   /** Applies the state that another VM sent. */
-  learn({ position, zones }: EvacuationNews): EvacuationChange {
+  applySnapshot({ position, zones }: EvacuationSnapshot): EvacuationChange {
     if (position <= this.#position) return { evacuated: [], restored: [] };
     return this.#replace(position, zones);
   }
--- a/src/core/fleet/evacuations_test.ts
+++ b/src/core/fleet/evacuations_test.ts
@@ -10,16 +10,16 @@
 
 test("evacuations: zones are evacuated together and restored one by one", (t) => {
   const evacuations = Evacuations.create();
-  t.is(evacuations.news, null);
-  t.deepEqual(evacuations.read(read(1, ["a", "unknown"])), {
+  t.is(evacuations.snapshot, null);
+  t.deepEqual(evacuations.applyRead(read(1, ["a", "unknown"])), {
     evacuated: ["a", "unknown"],
     restored: [],
   });
-  t.deepEqual(evacuations.read(read(2, ["b", "a"])), {
+  t.deepEqual(evacuations.applyRead(read(2, ["b", "a"])), {
     evacuated: ["b"],
     restored: [],
   });
-  t.deepEqual(evacuations.read(read(3, [], ["a", "never"])), {
+  t.deepEqual(evacuations.applyRead(read(3, [], ["a", "never"])), {
     evacuated: [],
     restored: ["a"],
   });
@@ -28,21 +28,21 @@
 
 test("evacuations: a complete read replaces the known zones", (t) => {
   const evacuations = Evacuations.create();
-  evacuations.read(read(5, ["a"]));
-  const change = evacuations.read(read(6, ["b"], [], true));
+  evacuations.applyRead(read(5, ["a"]));
+  const change = evacuations.applyRead(read(6, ["b"], [], true));
   t.deepEqual(change, { evacuated: ["b"], restored: ["a"] });
 });
 
 test("evacuations: the state at the later position applies, whatever its source", (t) => {
   const reader = Evacuations.create();
   const follower = Evacuations.create();
-  reader.read(read(7, ["a"]));
-  follower.learn(reader.news!);
+  reader.applyRead(read(7, ["a"]));
+  follower.applySnapshot(reader.snapshot!);
   t.true(follower.has("a"));
-  reader.read(read(9, [], ["a"]));
+  reader.applyRead(read(9, [], ["a"]));
   const late = { position: 7, zones: ["a"] };
-  follower.learn(reader.news!);
-  t.deepEqual(follower.learn(late), { evacuated: [], restored: [] });
+  follower.applySnapshot(reader.snapshot!);
+  t.deepEqual(follower.applySnapshot(late), { evacuated: [], restored: [] });
   t.false(follower.has("a"));
-  t.deepEqual(reader.read(read(8, ["a"])), { evacuated: [], restored: [] });
+  t.deepEqual(reader.applyRead(read(8, ["a"])), { evacuated: [], restored: [] });
 });
--- a/src/core/fleet/fleet.ts
+++ b/src/core/fleet/fleet.ts
@@ -42,12 +42,12 @@
 }
 
 /** Rate limit that one server reported. */
-export interface ServerRate extends RateLimitReport {
+export interface ServerRateLimit extends RateLimitReport {
   server: string;
 }
 
 /** Start or end of a server's rate limit. */
-export interface ServerRateChange {
+export interface ServerRateLimitChange {
   server: TrackedServer;
   change: RateLimitChange;
 }
@@ -84,16 +84,16 @@
   }
 
   /** Records that the registry is available again after an outage. */
-  regained(now: number): void {
+  recovered(now: number): void {
     this.#registryRecoveredAt = now;
   }
 
   /** Applies evacuations that started or ended. */
-  evacuate({ evacuated, restored }: EvacuationChange, now: number): void {
+  applyEvacuations({ evacuated, restored }: EvacuationChange, now: number): void {
     for (const server of this.#servers.values()) {
       const { availabilityZone } = server.entry;
-      if (evacuated.includes(availabilityZone)) server.evacuate(true, now);
-      if (restored.includes(availabilityZone)) server.evacuate(false, now);
+      if (evacuated.includes(availabilityZone)) server.setEvacuated(true, now);
+      if (restored.includes(availabilityZone)) server.setEvacuated(false, now);
     }
   }
 
@@ -120,9 +120,9 @@
    * discard the state of the newer one, whereas a missed newer one is corrected by the
    * next read. It is also unknown whether the server was removed in the meantime. A
    * pending removal therefore stays pending, and a server that was not listed has to be
-   * confirmed by {@linkcode confirm}.
+   * confirmed by {@linkcode confirmPeerEntries}.
    */
-  learn(entries: readonly BackendServer[], now: number): FleetChange[] {
+  applyPeerEntries(entries: readonly BackendServer[], now: number): FleetChange[] {
     const isSameIncarnation = ({ id, incarnation }: BackendServer) =>
       (this.get(id)?.entry.incarnation ?? incarnation) === incarnation;
     const usable = entries.filter((entry) =>
@@ -136,7 +136,7 @@
 
   /** Checks the servers that are known only from other VMs once the registry has been
    * read again. Unlisted ones are removed after a delay, unless an entry follows. */
-  confirm(isListed: (id: string) => boolean, now: number): void {
+  confirmPeerEntries(isListed: (id: string) => boolean, now: number): void {
     for (const id of this.#unconfirmed) {
       if (!isListed(id)) this.#removeLater(id, now);
     }
@@ -175,53 +175,53 @@
   }
 
   /** All servers of a service. */
-  of(service: string): readonly TrackedServer[] {
+  serversOf(service: string): readonly TrackedServer[] {
     return this.#byService.get(service) ?? [];
   }
 
   /** Returns this VM's samples of a service's servers since the last call. */
   takeSamples(service: string, now: number): ServerSamples[] {
-    return this.of(service).flatMap((server) => {
+    return this.serversOf(service).flatMap((server) => {
       const samples = server.takeSamples(now);
       return samples === null ? [] : [{ server: server.id, ...samples }];
     });
   }
 
   /** Adds samples that another VM measured. */
-  observe(samples: readonly ServerSamples[], now: number): void {
+  addPeerSamples(samples: readonly ServerSamples[], now: number): void {
     for (const { server, ...each } of samples) {
-      this.#servers.get(server)?.observe(each, now);
+      this.#servers.get(server)?.addPeerSamples(each, now);
     }
   }
 
   /** Applies loads that servers reported to other VMs. */
-  hearLoads(loads: readonly ServerLoad[], now: number): void {
+  applyPeerLoads(loads: readonly ServerLoad[], now: number): void {
     for (const { server, ...load } of loads) {
       this.#servers.get(server)?.applyLoadReport(load, now);
     }
   }
 
   /** Returns the rate limits that servers reported to this VM since the last call. */
-  takeRates(now: number): ServerRate[] {
-    return this.all().flatMap(({ id, rate }) => {
+  takeUnsentRateLimits(now: number): ServerRateLimit[] {
+    return this.all().flatMap(({ id, rateLimit: rate }) => {
       const report = rate.takeUnsent(now);
       return report === null ? [] : [{ server: id, ...report }];
     });
   }
 
   /** All recently reported rate limits, including those that have ended. */
-  statedRates(now: number): ServerRate[] {
-    return this.all().flatMap(({ id, rate }) => {
+  reportedRateLimits(now: number): ServerRateLimit[] {
+    return this.all().flatMap(({ id, rateLimit: rate }) => {
       const report = rate.latestReport(now);
       return report === null ? [] : [{ server: id, ...report }];
     });
   }
 
   /** Applies rate limits that servers reported to other VMs; returns the changes. */
-  hearRates(rates: readonly ServerRate[], now: number): ServerRateChange[] {
+  applyPeerRateLimits(rates: readonly ServerRateLimit[], now: number): ServerRateLimitChange[] {
     return rates.flatMap(({ server: id, ...report }) => {
       const server = this.#servers.get(id);
-      const change = server?.rate.applyPeerReport(report, now) ?? null;
+      const change = server?.rateLimit.applyPeerReport(report, now) ?? null;
       return change === null ? [] : [{ server: server!, change }];
     });
   }
@@ -242,7 +242,7 @@
   }
 
   /** Mean of the known latencies of a service's servers, in milliseconds. */
-  usualLatency(service: string, now: number): number {
+  meanLatency(service: string, now: number): number {
     const known = this.#meanLatencies.get(service);
     if (known !== undefined && now < known.until) return known.latency;
     const latency = this.#computeMeanLatency(service);
@@ -254,7 +254,7 @@
   #computeMeanLatency(service: string): number {
     let sum = 0;
     let count = 0;
-    for (const { latency } of this.of(service)) {
+    for (const { latency } of this.serversOf(service)) {
       if (latency === null) continue;
       sum += latency;
       count += 1;
@@ -291,7 +291,7 @@
   #add(entry: BackendServer, now: number): void {
     const server = TrackedServer.create(entry);
     server.update(entry, now);
-    server.evacuate(this.evacuations.has(entry.availabilityZone), now);
+    server.setEvacuated(this.evacuations.has(entry.availabilityZone), now);
     this.#servers.set(entry.id, server);
     this.#joinedAt.set(entry.service, now);
     const others = this.#byService.get(entry.service) ?? [];
@@ -301,7 +301,7 @@
   #unlist({ id, entry: { service } }: TrackedServer): void {
     this.#servers.delete(id);
     this.#unconfirmed.delete(id);
-    const others = this.of(service).filter((each) => each.id !== id);
+    const others = this.serversOf(service).filter((each) => each.id !== id);
     if (others.length > 0) this.#byService.set(service, others);
     else this.#byService.delete(service);
   }
--- a/src/core/fleet/fleet_test.ts
+++ b/src/core/fleet/fleet_test.ts
@@ -63,11 +63,11 @@
     latency: server.latency,
     cost: server.cost(860, 10),
     isPaused: server.isPaused(860),
-    isSilent: server.isSilent(5_000, 10),
-    aliveAt: server.aliveAt,
+    isSilent: server.isUnresponsive(5_000, 10),
+    aliveAt: server.lastSeenAt,
     refusedAt: server.refusedAt,
     samples: fleet.takeSamples("stock", 860),
-    listed: fleet.of("stock").map(({ id }) => id),
+    listed: fleet.serversOf("stock").map(({ id }) => id),
   };
 }
 
@@ -100,8 +100,8 @@
   fleet.apply([moved], [], 900);
   t.is(fleet.expire(2_400).length, 1);
   fleet.apply([moved], [], 2_410);
-  t.deepEqual(fleet.of("stock"), []);
-  t.deepEqual(fleet.of("orders").map(({ id }) => id), ["a"]);
+  t.deepEqual(fleet.serversOf("stock"), []);
+  t.deepEqual(fleet.serversOf("orders").map(({ id }) => id), ["a"]);
 });
 
 test("fleet: an incarnation that was draining stays draining", (t) => {
@@ -154,7 +154,7 @@
 test("fleet: keeps expired entries for two seconds after an outage of the registry", (t) => {
   const fleet = Fleet.create();
   fleet.apply([entry("a"), entry("b")], [], 0);
-  fleet.regained(10_000);
+  fleet.recovered(10_000);
   t.deepEqual(fleet.apply([], ["a", "b"], 10_050), []);
   fleet.apply([entry("a")], [], 11_000);
   t.deepEqual(fleet.expire(11_900), []);
@@ -169,10 +169,10 @@
   const server = fleet.get("a")!;
   server.started(1, 0);
   server.started(2, 100);
-  t.false(server.isSilent(240, 50));
-  t.true(server.isSilent(300, 50));
+  t.false(server.isUnresponsive(240, 50));
+  t.true(server.isUnresponsive(300, 50));
   server.answered(2, 310, null);
-  t.false(server.isSilent(320, 50));
+  t.false(server.isUnresponsive(320, 50));
 });
 
 test("fleet: consecutive failures pause a server with exponential backoff", (t) => {
--- a/src/core/fleet/stated_rate.ts
+++ b/src/core/fleet/stated_rate.ts
@@ -18,7 +18,7 @@
 const MILLISECONDS_PER_SECOND = 1_000;
 
 /** Schema of {@linkcode RateLimitReport}. */
-export const rateStatementSchema = z.object({
+export const rateLimitReportSchema = z.object({
   /** Null if the server no longer reports a limit. */
   requestsPerSecond: z.number().positive().nullable(),
   /** Milliseconds since the response that reported it. */
@@ -26,7 +26,7 @@
 });
 
 /** The limit, or its absence, that a server has reported to any VM. */
-export type RateLimitReport = z.infer<typeof rateStatementSchema>;
+export type RateLimitReport = z.infer<typeof rateLimitReportSchema>;
 
 /** Whether a limit came into force or ended. */
 export type RateLimitChange = "limited" | "unlimited";
--- a/src/core/fleet/tracked_server.ts
+++ b/src/core/fleet/tracked_server.ts
@@ -76,7 +76,7 @@
   #sampleCount = 0;
   #hasResponded = false;
   /** When a VM is last known to have received a response from it. */
-  aliveAt = -Infinity;
+  lastSeenAt = -Infinity;
   #acceptanceRate = 1;
   #consecutiveFailures = 0;
   #pausedUntil = 0;
@@ -91,7 +91,7 @@
   /** Start times of the attempts in flight, oldest first, by attempt number. */
   readonly #startedAt = new Map<number, number>();
   /** The rate limit that it reports. */
-  readonly rate = ReportedRateLimit.create();
+  readonly rateLimit = ReportedRateLimit.create();
 
   private constructor(public entry: BackendServer) {}
 
@@ -127,7 +127,7 @@
 
   /** Sets whether its zone is evacuated. After an evacuation it may be cold, since it may
    * have restarted in the meantime. */
-  evacuate(isEvacuated: boolean, now: number): void {
+  setEvacuated(isEvacuated: boolean, now: number): void {
     if (isEvacuated) {
       this.evacuatedSince ??= now;
     } else if (this.evacuatedSince !== null) {
@@ -149,7 +149,7 @@
   }
 
   /** Records that a connection to its address was refused. */
-  gone(): void {
+  connectionRefused(): void {
     this.#isConnectionRefused = true;
   }
 
@@ -184,8 +184,8 @@
   }
 
   /** Adds latency samples that another VM measured. */
-  observe(samples: LatencySamples, now: number): void {
-    this.aliveAt = now;
+  addPeerSamples(samples: LatencySamples, now: number): void {
+    this.lastSeenAt = now;
     if (samples.load !== undefined) this.applyLoadReport(samples.load, now);
     if (samples.count > 0) this.#updateLatency(samples);
   }
@@ -198,7 +198,7 @@
   }
 
   /** The latest load report that any VM received; null if it has expired. */
-  statedLoad(now: number): LoadReport | null {
+  latestLoadReport(now: number): LoadReport | null {
     const age = now - this.#reportedAt;
     if (age > LOAD_REPORT_LIFETIME) return null;
     return { requests: this.#reportedRequests, age };
@@ -221,7 +221,7 @@
     this.#sampleCount = 0;
     // Load reports to other VMs are distributed by those VMs.
     const isOwnLatest = this.#reportedAt === this.#ownReportAt;
-    const load = isOwnLatest ? this.statedLoad(now) : null;
+    const load = isOwnLatest ? this.latestLoadReport(now) : null;
     return load === null ? { mean, count } : { mean, count, load };
   }
 
@@ -253,7 +253,7 @@
    * Whether a request has been in flight for much longer than `meanLatency` without any
    * response from the server since: it is unreachable, hung or very slow.
    */
-  isSilent(now: number, meanLatency: number): boolean {
+  isUnresponsive(now: number, meanLatency: number): boolean {
     const limit = Math.max(
       MINIMUM_UNRESPONSIVE_TIME,
       meanLatency * UNRESPONSIVE_LATENCY_FACTOR,
@@ -298,7 +298,7 @@
 
   #recordResponse(now: number, load: ReportedLoad | null): void {
     this.#lastResponseAt = now;
-    this.aliveAt = now;
+    this.lastSeenAt = now;
     if (this.#isConnectionRefused) this.#mayBeColdSince = now;
     this.#isConnectionRefused = false;
     this.#hasResponded = true;
--- a/src/core/keyspace/key_limits.ts
+++ b/src/core/keyspace/key_limits.ts
@@ -91,7 +91,7 @@
     if (demand.count === 0) continue;
     byServer.set(server, [...byServer.get(server) ?? [], demand]);
   }
-  const meanLatency = fleet.usualLatency(service, now);
+  const meanLatency = fleet.meanLatency(service, now);
   const limits: KeyLimit[] = [];
   for (const [id, demands] of byServer) {
     const server = fleet.get(id);
--- a/src/core/keyspace/key_limits_test.ts
+++ b/src/core/keyspace/key_limits_test.ts
@@ -24,7 +24,7 @@
   );
   fleet.apply(entries, [], 0);
   const samples = { mean: 100, count: 20 };
-  fleet.observe(entries.map(({ id }) => ({ server: id, ...samples })), 0);
+  fleet.addPeerSamples(entries.map(({ id }) => ({ server: id, ...samples })), 0);
   const ranges = [[0, 9, "a"], [10, 19, "a"], [20, 29, "b"]] as const;
   const heldRanges = ranges.map(([first, last, server]) => ({
     ...vacantRange({ first, last }, 0),
--- a/src/core/keyspace/key_rebalancer.ts
+++ b/src/core/keyspace/key_rebalancer.ts
@@ -89,7 +89,7 @@
   /** Returns the moves that should start now. */
   moves(table: RangeTable, suspects: Set<string>, now: number): Move[] {
     const moving = table.ranges.filter((each) => each.state !== "held").length;
-    const { length: servers } = this.fleet.of(table.service);
+    const { length: servers } = this.fleet.serversOf(table.service);
     const maxMoving = Math.max(
       MIN_CONCURRENT_MOVES,
       Math.ceil(CONCURRENT_MOVES_PER_SERVER * servers),
@@ -121,18 +121,18 @@
     suspects: Set<string>,
     now: number,
   ): Candidate[] {
-    const meanLatency = this.fleet.usualLatency(service, now);
-    const usable = this.fleet.of(service).filter((each) => !each.isLeaving);
+    const meanLatency = this.fleet.meanLatency(service, now);
+    const usable = this.fleet.serversOf(service).filter((each) => !each.isLeaving);
     const healthy = usable.filter((each) =>
       !suspects.has(each.id) && !each.isPaused(now) &&
       !each.isWarming(now) &&
-      !each.isSilent(now, meanLatency)
+      !each.isUnresponsive(now, meanLatency)
     );
     const candidates = healthy.length > 0 ? healthy : usable;
     const meanDemand = this.#demand(service, now) / candidates.length;
     return candidates.map((server) => {
       const speed = relativeSpeed(server, meanLatency);
-      const limit = server.rate.current(now);
+      const limit = server.rateLimit.current(now);
       return { id: server.id, speed: limitedSpeed(speed, limit, meanDemand) };
     });
   }
--- a/src/core/keyspace/range_servers.ts
+++ b/src/core/keyspace/range_servers.ts
@@ -97,7 +97,7 @@
    */
   isLost(range: HeldRange, now: number): boolean {
     if (!this.isUnresponsive(range)) return false;
-    const aliveAt = this.fleet.get(range.server!)?.aliveAt ?? -Infinity;
+    const aliveAt = this.fleet.get(range.server!)?.lastSeenAt ?? -Infinity;
     return aliveAt < range.failingSince || now >= range.leaseEnd;
   }
 
--- a/src/core/keyspace/range_servers_test.ts
+++ b/src/core/keyspace/range_servers_test.ts
@@ -54,13 +54,13 @@
   const countDue = (now: number) =>
     ranges.filter((range) => servers.isReleaseDue(range, now)).length;
   t.is(countDue(0), 0);
-  fleet.evacuate({ evacuated: ["z"], restored: [] }, 1_000);
+  fleet.applyEvacuations({ evacuated: ["z"], restored: [] }, 1_000);
   t.false(servers.isAvailable("a"));
   t.true(countDue(1_010) <= 1);
   const half = countDue(2_000);
   t.true(half >= 6 && half <= 10, `${half}`);
   t.is(countDue(3_000), 16);
-  fleet.evacuate({ evacuated: [], restored: ["z"] }, 4_000);
+  fleet.applyEvacuations({ evacuated: [], restored: ["z"] }, 4_000);
   t.is(countDue(4_000), 0);
   fleet.apply([{ ...ENTRY, isDraining: true }], [], 5_000);
   t.is(countDue(5_000), 16);
--- a/src/core/keyspace/term_holder_test.ts
+++ b/src/core/keyspace/term_holder_test.ts
@@ -183,7 +183,7 @@
   const states = runWithUnansweredOrders(
     context,
     2_000,
-    (now) => server.observe(samples, now),
+    (now) => server.addPeerSamples(samples, now),
   );
   t.false(states.includes("expiring"));
 });
--- a/src/core/peers/follower_link.ts
+++ b/src/core/peers/follower_link.ts
@@ -9,7 +9,7 @@
  *
  * @module
  */
-import type { ServerRate, ServerSamples } from "../fleet/index.ts";
+import type { ServerRateLimit, ServerSamples } from "../fleet/index.ts";
 import type { FollowerReport, SenderState, PeerSend } from "./peer_message.ts";
 
 /** Time between two reports, in milliseconds. It limits how soon a busy key is noticed
@@ -171,7 +171,7 @@
     latencies: readonly ServerSamples[],
     mayFetch: boolean,
     hasHolderUpdates: boolean,
-    rates: readonly ServerRate[] = [],
+    rates: readonly ServerRateLimit[] = [],
   ): (PeerSend | AssignmentFetch)[] {
     const effects: (PeerSend | AssignmentFetch)[] = [];
     if (this.#holder !== null && this.isReportDue(now)) {
--- a/src/core/peers/holder_link.ts
+++ b/src/core/peers/holder_link.ts
@@ -4,9 +4,9 @@
  * @module
  */
 import type { Configuration } from "../catalog/index.ts";
-import type { ServerLoad, ServerRate } from "../fleet/index.ts";
+import type { ServerLoad, ServerRateLimit } from "../fleet/index.ts";
 import type { Assignment, KeyLimit } from "../keyspace/index.ts";
-import type { RegistryNews } from "../registry/index.ts";
+import type { RegistryUpdate } from "../registry/index.ts";
 import type {
   HolderAddress,
   HolderState,
@@ -37,7 +37,7 @@
   limits: readonly KeyLimit[];
   loads: readonly ServerLoad[];
   /** Rate limits of servers of all services, including recently stopped ones. */
-  rates: readonly ServerRate[];
+  rates: readonly ServerRateLimit[];
 }
 
 /** Assignments that changed after version `since`. */
@@ -100,7 +100,7 @@
   answerReport(
     address: string,
     holderState: HolderState,
-    registry: RegistryNews | null,
+    registry: RegistryUpdate | null,
     { limits, loads, rates }: OverloadState,
     answersTo: number,
   ): PeerSend {
@@ -162,7 +162,7 @@
   }
 
   /** Sends changes of the registry to all followers. */
-  publishRegistry(senderState: SenderState, registry: RegistryNews): PeerSend[] {
+  publishRegistry(senderState: SenderState, registry: RegistryUpdate): PeerSend[] {
     return this.#sendToAll({ kind: "servers.told", ...senderState, registry });
   }
 
--- a/src/core/peers/peer_message.ts
+++ b/src/core/peers/peer_message.ts
@@ -7,8 +7,8 @@
 import { configurationSchema } from "../catalog/index.ts";
 import {
   backendServerSchema,
-  evacuationNewsSchema,
-  rateStatementSchema,
+  evacuationSnapshotSchema,
+  rateLimitReportSchema,
 } from "../fleet/index.ts";
 import {
   assignmentSchema,
@@ -17,7 +17,7 @@
 } from "../keyspace/index.ts";
 import { crashRecordSchema, permitAnswerSchema } from "../quarantine/index.ts";
 import { tokenAnswerSchema } from "../rates/index.ts";
-import { registryNewsSchema } from "../registry/index.ts";
+import { registryUpdateSchema } from "../registry/index.ts";
 
 const count = z.number().int().nonnegative();
 
@@ -44,7 +44,7 @@
   configuration: z.number().int(),
   /** Evacuated availability zones. Absent while nothing is known of them, and in
    * messages of older versions. */
-  evacuation: evacuationNewsSchema.optional(),
+  evacuation: evacuationSnapshotSchema.optional(),
   /** Included in reports, in answers to them and in messages that are sent for its
    * sake. Older versions omit and ignore it. */
   quarantine: quarantineUpdateSchema.optional(),
@@ -107,7 +107,7 @@
 
 /** Rate limits reported by servers. Absent in messages of older versions. A holder that
  * includes them, even if empty, supports token requests. */
-const ratesSchema = z.array(rateStatementSchema.extend({ server: z.string() }))
+const ratesSchema = z.array(rateLimitReportSchema.extend({ server: z.string() }))
   .max(MAXIMUM_RATES).optional();
 
 /** A follower's report to the term holder on the keys that were requested recently. */
@@ -144,7 +144,7 @@
 const holderAliveSchema = holderStateSchema.extend({
   kind: z.literal("holder.alive"),
   /** Registry changes that the follower lacks, or null. */
-  registry: registryNewsSchema.nullable(),
+  registry: registryUpdateSchema.nullable(),
   /** When the answered report was sent, by the follower's clock. Older versions omit
    * it. */
   answersTo: z.number().optional(),
@@ -167,7 +167,7 @@
 /** Sent by the holder when the registry has changed. */
 const serversToldSchema = senderStateSchema.extend({
   kind: z.literal("servers.told"),
-  registry: registryNewsSchema,
+  registry: registryUpdateSchema,
 });
 
 /** Sent by the holder with all assignments. */
--- a/src/core/quarantine/crash_watch.ts
+++ b/src/core/quarantine/crash_watch.ts
@@ -33,7 +33,7 @@
 
 /** Effect that probes whether a server's address accepts connections. The result is the
  * event `server.checked`. */
-export interface ServerCheck {
+export interface ServerProbe {
   kind: "server.check";
   server: string;
   address: string;
@@ -50,11 +50,11 @@
 }
 
 /** A request that was in progress on a server when the server crashed. */
-export interface Accusation {
+export interface CrashAttribution {
   request: BrokenRequest;
   server: string;
   /** Whether this crash under this request was not known before. */
-  isNews: boolean;
+  isNew: boolean;
 }
 
 interface BrokenAttempt {
@@ -77,31 +77,31 @@
 }
 
 /** See the module's comment. Times are milliseconds. */
-export class CrashWatch {
+export class CrashDetector {
   /** State by the server's id. */
   readonly #runs = new Map<string, ServerRun>();
 
   private constructor(
     private readonly quarantine: Quarantine,
-    private readonly reportCrash: (accusation: Accusation) => void,
+    private readonly reportCrash: (accusation: CrashAttribution) => void,
   ) {}
 
   /** Starts without state. Crashes are recorded in `quarantine` and passed to
    * `reportCrash`. */
   static create(
     quarantine: Quarantine,
-    reportCrash: (accusation: Accusation) => void,
-  ): CrashWatch {
-    return new CrashWatch(quarantine, reportCrash);
+    reportCrash: (accusation: CrashAttribution) => void,
+  ): CrashDetector {
+    return new CrashDetector(quarantine, reportCrash);
   }
 
   /** Records that the connection broke after a request was sent. Returns a probe of the
    * server if one is due. */
-  broke(
+  connectionBroke(
     server: TrackedServer,
     request: BrokenRequest,
     now: number,
-  ): ServerCheck | null {
+  ): ServerProbe | null {
     if (server.entry.isDraining) return null;
     const state = this.#currentRun(server, now);
     if (state.endedAt !== null) {
@@ -129,7 +129,7 @@
   }
 
   /** Records a successful probe: the server, or another incarnation, is running. */
-  found(server: string): void {
+  probeSucceeded(server: string): void {
     const state = this.#runs.get(server);
     if (state === undefined) return;
     const pause = state.probePause * 2;
@@ -163,8 +163,8 @@
     now: number,
   ): void {
     const { fingerprint, target } = request;
-    const isNews = this.quarantine.accuse(fingerprint, target, run, now);
-    this.reportCrash({ request, server, isNews });
+    const isNews = this.quarantine.recordCrash(fingerprint, target, run, now);
+    this.reportCrash({ request, server, isNew: isNews });
   }
 
   /** The state of a server's current run, which is created if necessary. */
--- a/src/core/quarantine/fingerprint.ts
+++ b/src/core/quarantine/fingerprint.ts
@@ -46,7 +46,7 @@
   }
 
   /** The complete fingerprint; begins with {@linkcode head}. */
-  get whole(): string {
+  get complete(): string {
     return this.#complete ??= this.#compute();
   }
 
--- a/src/core/quarantine/fingerprint_test.ts
+++ b/src/core/quarantine/fingerprint_test.ts
@@ -10,7 +10,7 @@
 };
 
 const whole = (change: Partial<FingerprintParts> = {}) =>
-  Fingerprint.create({ ...PARTS, ...change }).whole;
+  Fingerprint.create({ ...PARTS, ...change }).complete;
 
 test("fingerprint: is equal for equal requests and differs with any part", (t) => {
   t.is(whole(), whole());
@@ -25,7 +25,7 @@
 });
 
 test("fingerprint: of a request without a body is its head", (t) => {
-  const { head, whole } = Fingerprint.create({
+  const { head, complete: whole } = Fingerprint.create({
     ...PARTS,
     body: Buffer.alloc(0),
   });
@@ -35,7 +35,7 @@
 test("fingerprint: begins with its head, whatever the body", (t) => {
   fc.assert(fc.property(fc.uint8Array({ maxLength: 200 }), (body) => {
     const fingerprint = Fingerprint.create({ ...PARTS, body });
-    t.is(headOf(fingerprint.whole), fingerprint.head);
+    t.is(headOf(fingerprint.complete), fingerprint.head);
   }));
 });
 
@@ -51,7 +51,7 @@
   const fingerprint = Fingerprint.create(parts);
   void fingerprint.head;
   t.is(reads, 0);
-  void fingerprint.whole;
-  void fingerprint.whole;
+  void fingerprint.complete;
+  void fingerprint.complete;
   t.is(reads, 1);
 });
--- a/src/core/quarantine/permit_issuer.ts
+++ b/src/core/quarantine/permit_issuer.ts
@@ -9,7 +9,7 @@
  *
  * @module
  */
-import { LONGEST_PERMIT, type PermitAnswer } from "./run_permits.ts";
+import { MAXIMUM_PERMIT, type PermitAnswer } from "./run_permits.ts";
 
 /** Number of consecutive crashes under copies with a permit after which the next copy
  * waits until the permit has expired. By then all VMs know of the crashes and have
@@ -42,7 +42,7 @@
   /** Activates the issuer, once this VM is the announced term holder. */
   begin(now: number): void {
     this.#issued.clear();
-    this.#activeAt = now + LONGEST_PERMIT;
+    this.#activeAt = now + MAXIMUM_PERMIT;
   }
 
   /** Deactivates the issuer, once another VM is the announced term holder. */
@@ -60,7 +60,7 @@
   ): PermitAnswer {
     const activeIn = this.#activeAt - now;
     if (activeIn > 0) {
-      return { isGranted: false, left: Math.min(activeIn, LONGEST_PERMIT) };
+      return { isGranted: false, left: Math.min(activeIn, MAXIMUM_PERMIT) };
     }
     const issued = this.#issued.get(request);
     if (issued !== undefined && now < issued.until) {
@@ -68,16 +68,16 @@
     }
     if (this.#issued.size >= MAXIMUM_PERMITS) this.#removeExpired(now);
     if (this.#issued.size >= MAXIMUM_PERMITS) {
-      return { isGranted: false, left: LONGEST_PERMIT };
+      return { isGranted: false, left: MAXIMUM_PERMIT };
     }
-    const left = Math.min(duration, LONGEST_PERMIT);
+    const left = Math.min(duration, MAXIMUM_PERMIT);
     const crashes = issued?.crashes ?? 0;
     this.#issued.set(request, { address, until: now + left, crashes });
     return { isGranted: true, left };
   }
 
   /** Releases the permit of the VM at `address`; `hasEnded` if the server crashed. */
-  returned(request: string, address: string, hasEnded: boolean): void {
+  released(request: string, address: string, hasEnded: boolean): void {
     const issued = this.#issued.get(request);
     if (issued?.address !== address) return;
     if (!hasEnded) {
--- a/src/core/quarantine/quarantine.ts
+++ b/src/core/quarantine/quarantine.ts
@@ -92,7 +92,7 @@
 
   /** Records that a run of a server crashed under a request; returns whether that was not
    * known before. */
-  accuse(request: string, target: string, run: string, now: number): boolean {
+  recordCrash(request: string, target: string, run: string, now: number): boolean {
     const crashes = this.#records.get(request) ??
       this.#add(newCrashes(request, target, 0, now));
     const isKnown = crashes.runs.includes(run) || crashes.excused.includes(run);
@@ -109,17 +109,17 @@
   }
 
   /** Number of crashes that count against a request; 0 for most. */
-  ends(fingerprint: Fingerprint): number {
+  crashCount(fingerprint: Fingerprint): number {
     return this.#find(fingerprint)?.runs.length ?? 0;
   }
 
   /** Whether there is a record of a request. */
-  isKnown(fingerprint: Fingerprint): boolean {
+  hasRecord(fingerprint: Fingerprint): boolean {
     return this.#find(fingerprint) !== undefined;
   }
 
   /** Number of crashes that count against a request, by its complete fingerprint. */
-  endsUnder(request: string): number {
+  crashCountOf(request: string): number {
     return this.#records.get(request)?.runs.length ?? 0;
   }
 
@@ -148,14 +148,14 @@
       .map((crashes) => holdOf(crashes, now));
   }
 
-  /** Revision of the last change to what {@linkcode recordable} returns. */
-  get recordRevision(): number {
+  /** Revision of the last change to what {@linkcode persistentRecords} returns. */
+  get persistentRevision(): number {
     return this.#recordRevision;
   }
 
   /** Records of requests that are quarantined or near their limit. They are persisted,
    * so that the crashes still count after all VMs have failed. */
-  recordable(now: number): CrashRecord[] {
+  persistentRecords(now: number): CrashRecord[] {
     return this.#replicated().filter((each) => each.isHeld || isNearLimit(each))
       .map((each) => toRecord(each, now));
   }
@@ -183,13 +183,13 @@
   }
 
   /** Records that are replicated to all VMs. */
-  notable(now: number): CrashRecord[] {
+  replicatedRecords(now: number): CrashRecord[] {
     return this.#replicated().map((each) => toRecord(each, now));
   }
 
   /** Replicated records and the newest records with a single crash, for a VM that has
    * just started: it then runs none of these requests beside another copy. */
-  suspects(now: number): CrashRecord[] {
+  startupRecords(now: number): CrashRecord[] {
     const replicated = this.#replicated();
     const others = [...this.#records.values()]
       .filter((each) => each.runs.length > 0 && !isReplicated(each))
@@ -263,7 +263,7 @@
   #find(fingerprint: Fingerprint): RequestCrashes | undefined {
     if (this.#records.size === 0) return undefined;
     if (!this.#byHead.has(fingerprint.head)) return undefined;
-    return this.#records.get(fingerprint.whole);
+    return this.#records.get(fingerprint.complete);
   }
 
   #add(crashes: RequestCrashes): RequestCrashes {
--- a/src/core/quarantine/quarantine_test.ts
+++ b/src/core/quarantine/quarantine_test.ts
@@ -15,7 +15,7 @@
 function quarantineAfter(crashes: number): Quarantine {
   const quarantine = Quarantine.create();
   for (let i = 0; i < crashes; i++) {
-    quarantine.accuse(HARMFUL.whole, "h/harmful", `s-${i}#1`, 0);
+    quarantine.recordCrash(HARMFUL.complete, "h/harmful", `s-${i}#1`, 0);
   }
   return quarantine;
 }
@@ -31,34 +31,34 @@
 
 test("quarantine: a crash of a server's run counts once, whoever observed it", (t) => {
   const quarantine = quarantineAfter(2);
-  t.false(quarantine.accuse(HARMFUL.whole, "h/harmful", "s-1#1", 10));
+  t.false(quarantine.recordCrash(HARMFUL.complete, "h/harmful", "s-1#1", 10));
   t.false(isHeld(quarantine, DELAY));
-  t.true(quarantine.accuse(HARMFUL.whole, "h/harmful", "s-1#2", 10));
+  t.true(quarantine.recordCrash(HARMFUL.complete, "h/harmful", "s-1#2", 10));
   t.true(isHeld(quarantine, DELAY));
 });
 
 test("quarantine: an answer clears a request, also an answer on another VM", (t) => {
   const quarantine = quarantineAfter(3);
   const other = Quarantine.create();
-  other.merge(quarantine.notable(10), 10);
+  other.merge(quarantine.replicatedRecords(10), 10);
   other.clear(HARMFUL, 20);
-  quarantine.merge(other.notable(30), 30);
+  quarantine.merge(other.replicatedRecords(30), 30);
   t.false(isHeld(quarantine, DELAY));
   t.is(quarantine.digest, other.digest);
   // Delayed records of the same crashes from the other VM do not count again.
-  quarantine.merge(quarantineAfter(3).notable(40), 40);
+  quarantine.merge(quarantineAfter(3).replicatedRecords(40), 40);
   t.false(isHeld(quarantine, 40 + DELAY));
 });
 
 test("quarantine: crashes that a quarantined request explains do not count against others", (t) => {
   const quarantine = quarantineAfter(2);
   for (const run of ["s-0#1", "s-1#1"]) {
-    quarantine.accuse(HARMLESS.whole, "h/harmless", run, 0);
+    quarantine.recordCrash(HARMLESS.complete, "h/harmless", run, 0);
   }
-  quarantine.accuse(HARMFUL.whole, "h/harmful", "s-2#1", 0);
+  quarantine.recordCrash(HARMFUL.complete, "h/harmful", "s-2#1", 0);
   quarantine.expire(DELAY);
-  t.is(quarantine.ends(HARMLESS), 0);
-  quarantine.accuse(HARMLESS.whole, "h/harmless", "s-3#1", DELAY);
+  t.is(quarantine.crashCount(HARMLESS), 0);
+  quarantine.recordCrash(HARMLESS.complete, "h/harmless", "s-3#1", DELAY);
   t.is(quarantine.hold(HARMLESS, 3 * DELAY), null);
 });
 
@@ -67,7 +67,7 @@
   t.true(isHeld(quarantine, 2 * MINUTE - 1));
   t.false(isHeld(quarantine, 2 * MINUTE));
   const at = 2 * MINUTE + 10;
-  quarantine.accuse(HARMFUL.whole, "h/harmful", "s-9#1", at);
+  quarantine.recordCrash(HARMFUL.complete, "h/harmful", "s-9#1", at);
   t.true(isHeld(quarantine, at + DELAY));
   t.true(isHeld(quarantine, at + 4 * MINUTE - 1));
   t.false(isHeld(quarantine, at + 4 * MINUTE));
@@ -77,13 +77,13 @@
   const quarantine = quarantineAfter(3);
   t.false(isHeld(quarantine, 2 * MINUTE));
   quarantine.expire(HOUR);
-  t.deepEqual(quarantine.notable(HOUR), []);
+  t.deepEqual(quarantine.replicatedRecords(HOUR), []);
   t.is(quarantine.digest, 0);
 });
 
 test("quarantine: ends at the same time on a VM that receives the record late", (t) => {
   const late = Quarantine.create();
-  late.merge(quarantineAfter(3).notable(MINUTE), 5_000);
+  late.merge(quarantineAfter(3).replicatedRecords(MINUTE), 5_000);
   t.true(isHeld(late, 5_000 + MINUTE - 1));
   t.false(isHeld(late, 5_000 + MINUTE));
 });
@@ -92,7 +92,7 @@
   const quarantine = quarantineAfter(3);
   quarantine.expire(DELAY);
   for (let i = 0; i < 10_000; i++) {
-    quarantine.accuse(`request-${i}`, "h/x", "s-7#1", DELAY + i);
+    quarantine.recordCrash(`request-${i}`, "h/x", "s-7#1", DELAY + i);
   }
   t.true(isHeld(quarantine, 20_000));
   t.true(quarantine.changesSince(0, 20_000).length <= 256);
@@ -102,7 +102,7 @@
   const quarantine = Quarantine.create();
   const sent = fingerprintOf("/same", "harmful body");
   for (let i = 0; i < 3; i++) {
-    quarantine.accuse(sent.whole, "h/same", `s-${i}#1`, 0);
+    quarantine.recordCrash(sent.complete, "h/same", `s-${i}#1`, 0);
   }
   t.not(quarantine.hold(sent, DELAY), null);
   t.is(quarantine.hold(fingerprintOf("/same", "other body"), DELAY), null);
@@ -134,7 +134,7 @@
     list.forEach((action, now) => {
       const vm = vms[action.vm];
       if (action.kind === "crash") {
-        vm.accuse(HARMFUL.whole, "h/harmful", `s-${action.run}#1`, now);
+        vm.recordCrash(HARMFUL.complete, "h/harmful", `s-${action.run}#1`, now);
       } else if (action.kind === "answer") vm.clear(HARMFUL, now);
       else vms[action.to].merge(all(action.vm, now), now);
     });
@@ -151,8 +151,8 @@
 test("quarantine: two requests with the same crashes do not clear each other", (t) => {
   const quarantine = Quarantine.create();
   for (const run of ["s-0#1", "s-1#1", "s-2#1"]) {
-    quarantine.accuse(HARMLESS.whole, "h/harmless", run, 0);
-    quarantine.accuse(HARMFUL.whole, "h/harmful", run, 0);
+    quarantine.recordCrash(HARMLESS.complete, "h/harmless", run, 0);
+    quarantine.recordCrash(HARMFUL.complete, "h/harmful", run, 0);
   }
   quarantine.expire(DELAY);
   t.true(isHeld(quarantine, DELAY));
@@ -160,18 +160,18 @@
 
 test("quarantine: crashes do not count against a request that was answered recently", (t) => {
   const quarantine = quarantineAfter(1);
-  t.is(quarantine.ends(HARMFUL), 1);
+  t.is(quarantine.crashCount(HARMFUL), 1);
   quarantine.clear(HARMFUL, 10);
-  quarantine.accuse(HARMFUL.whole, "h/harmful", "s-7#1", 2_000);
-  t.is(quarantine.ends(HARMFUL), 0);
+  quarantine.recordCrash(HARMFUL.complete, "h/harmful", "s-7#1", 2_000);
+  t.is(quarantine.crashCount(HARMFUL), 0);
   // Nor if another VM reports the crash; that VM learns of the answer in turn.
   const other = quarantineAfter(2);
-  quarantine.merge(other.suspects(3_000), 3_000);
-  t.is(quarantine.ends(HARMFUL), 0);
-  other.merge(quarantine.suspects(3_010), 3_010);
-  other.merge(quarantine.notable(3_010), 3_010);
-  t.is(other.ends(HARMFUL), 0);
+  quarantine.merge(other.startupRecords(3_000), 3_000);
+  t.is(quarantine.crashCount(HARMFUL), 0);
+  other.merge(quarantine.startupRecords(3_010), 3_010);
+  other.merge(quarantine.replicatedRecords(3_010), 3_010);
+  t.is(other.crashCount(HARMFUL), 0);
   // An answer that is too old does not clear the request of a new crash.
-  quarantine.accuse(HARMFUL.whole, "h/harmful", "s-8#1", 9_000);
-  t.is(quarantine.ends(HARMFUL), 1);
+  quarantine.recordCrash(HARMFUL.complete, "h/harmful", "s-8#1", 9_000);
+  t.is(quarantine.crashCount(HARMFUL), 1);
 });
--- a/src/core/quarantine/run_permits.ts
+++ b/src/core/quarantine/run_permits.ts
@@ -15,7 +15,7 @@
 
 /** Maximum validity of a permit, in milliseconds. A copy that a server runs for longer
  * without a response may overlap with the next copy. */
-export const LONGEST_PERMIT = 2_000;
+export const MAXIMUM_PERMIT = 2_000;
 /** Timeout of a permit request, in milliseconds. */
 const ANSWER_TIMEOUT = 250;
 /** Maximum time for which a denial applies, in milliseconds. The permit may be released
@@ -40,11 +40,11 @@
 export interface PermitChannel {
   /** Requests a permit for a request by its complete fingerprint. Returns the answer if
    * it is available at once, or null if it will be passed to
-   * {@linkcode RunPermits.told}. */
-  ask(request: string, duration: number, now: number): PermitAnswer | null;
+   * {@linkcode RunPermits.applyAnswer}. */
+  requestPermit(request: string, duration: number, now: number): PermitAnswer | null;
   /** Releases a permit before it expires; `hasEnded` if the server crashed under the
    * copy. */
-  giveBack(request: string, hasEnded: boolean): void;
+  release(request: string, hasEnded: boolean): void;
 }
 
 /** Whether a copy may run now. */
@@ -92,7 +92,7 @@
   }
 
   /** Applies the issuer's answer. */
-  told(
+  applyAnswer(
     request: string,
     { isGranted, left }: PermitAnswer,
     now: number,
@@ -100,7 +100,7 @@
     const permit = this.#permits.get(request);
     if (permit?.state !== "asked") {
       // The copy has ended in the meantime.
-      if (isGranted) this.channel.giveBack(request, false);
+      if (isGranted) this.channel.release(request, false);
       return;
     }
     permit.state = isGranted ? "granted" : "denied";
@@ -115,7 +115,7 @@
     const isGranted = permit.state === "granted";
     if (isGranted && mayStillRun) return;
     this.#permits.delete(request);
-    if (isGranted) this.channel.giveBack(request, false);
+    if (isGranted) this.channel.release(request, false);
   }
 
   /** Records that the server that ran a copy crashed, and releases the copy's permit. */
@@ -123,7 +123,7 @@
     const permit = this.#permits.get(request);
     if (permit?.copy !== copy || permit.state !== "granted") return;
     this.#permits.delete(request);
-    this.channel.giveBack(request, true);
+    this.channel.release(request, true);
   }
 
   #current(request: string, now: number): Permit | null {
@@ -151,10 +151,10 @@
     }
     const until = now + ANSWER_TIMEOUT;
     this.#permits.set(request, { copy, state: "asked", until });
-    const permitted = Math.min(duration, LONGEST_PERMIT);
-    const answer = this.channel.ask(request, permitted, now);
+    const permitted = Math.min(duration, MAXIMUM_PERMIT);
+    const answer = this.channel.requestPermit(request, permitted, now);
     if (answer === null) return { kind: "asked", until };
-    this.told(request, answer, now);
+    this.applyAnswer(request, answer, now);
     return answer.isGranted
       ? { kind: "granted" }
       : { kind: "denied", left: answer.left };
--- a/src/core/quarantine/run_permits_test.ts
+++ b/src/core/quarantine/run_permits_test.ts
@@ -1,11 +1,11 @@
 import test from "ava";
 import fc from "fast-check";
 import { PermitIssuer } from "./permit_issuer.ts";
-import { LONGEST_PERMIT, RunPermits } from "./run_permits.ts";
+import { MAXIMUM_PERMIT, RunPermits } from "./run_permits.ts";
 
 const REQUEST = "fingerprint";
 /** When an issuer that is activated at 0 issues its first permit. */
-const ACTIVE_AT = LONGEST_PERMIT;
+const ACTIVE_AT = MAXIMUM_PERMIT;
 
 function activeIssuer(): PermitIssuer {
   const issuer = PermitIssuer.create();
@@ -16,10 +16,10 @@
 /** Permits of the VM at `address`, which calls the issuer directly. */
 function permitsAt(address: string, issuer: PermitIssuer): RunPermits {
   return RunPermits.create({
-    ask: (request, duration, now) =>
+    requestPermit: (request, duration, now) =>
       issuer.issue(request, address, duration, now),
-    giveBack: (request, hasEnded) =>
-      issuer.returned(request, address, hasEnded),
+    release: (request, hasEnded) =>
+      issuer.released(request, address, hasEnded),
   });
 }
 
@@ -72,12 +72,12 @@
 test("run permits: a permit that is granted too late is released", (t) => {
   const returned: string[] = [];
   const permits = RunPermits.create({
-    ask: () => null,
-    giveBack: (request) => returned.push(request),
+    requestPermit: () => null,
+    release: (request) => returned.push(request),
   });
   t.is(permits.check(REQUEST, "1", 800, 0).kind, "asked");
   permits.ended(REQUEST, "1", false);
-  permits.told(REQUEST, { isGranted: true, left: 800 }, 10);
+  permits.applyAnswer(REQUEST, { isGranted: true, left: 800 }, 10);
   t.deepEqual(returned, [REQUEST]);
 });
 
--- a/src/core/rates/rate_share.ts
+++ b/src/core/rates/rate_share.ts
@@ -25,7 +25,7 @@
   }
 
   /** Whether this VM may send a request to a server now, at one request per `interval`. */
-  mayTake(server: string, interval: number, now: number): boolean {
+  maySend(server: string, interval: number, now: number): boolean {
     const known = this.#nextAt.get(server);
     // An older time belongs to an earlier limit of the server.
     if (known !== undefined && now < known + interval) return now >= known;
--- a/src/core/rates/rate_tokens.ts
+++ b/src/core/rates/rate_tokens.ts
@@ -40,8 +40,8 @@
 /** The connection of this VM to the term holder's token buckets. */
 export interface TokenChannel {
   /** Requests a token for a server. Returns the answer if it is available at once, or
-   * null if it will be passed to {@linkcode RateTokens.told}. */
-  ask(
+   * null if it will be passed to {@linkcode RateTokens.applyAnswer}. */
+  requestToken(
     server: TrackedServer,
     isUrgent: boolean,
     now: number,
@@ -90,22 +90,22 @@
 
   /** Whether a server has a rate limit in force. */
   isLimited(server: TrackedServer, now: number): boolean {
-    return server.rate.current(now) !== null;
+    return server.rateLimit.current(now) !== null;
   }
 
   /** Whether a request may be sent to a server now without a token request. */
   isReady(server: TrackedServer, now: number): boolean {
-    const limit = server.rate.current(now);
+    const limit = server.rateLimit.current(now);
     if (limit === null) return true;
     const { kind } = this.#current(server.id, now);
     if (kind === "granted") return true;
     return kind === "shared" &&
-      this.#share.mayTake(server.id, this.#interval(limit), now);
+      this.#share.maySend(server.id, this.#interval(limit), now);
   }
 
   /** Whether a server needs a token and none is held, requested or denied. The denial
    * of a less urgent request does not count. */
-  mayAsk(server: TrackedServer, isUrgent: boolean, now: number): boolean {
+  mayRequest(server: TrackedServer, isUrgent: boolean, now: number): boolean {
     if (!this.isLimited(server, now)) return false;
     const state = this.#current(server.id, now);
     if (state.kind === "denied") return isUrgent && !state.isUrgent;
@@ -121,7 +121,7 @@
 
   /** Whether a request may be sent to a server now; requests a token if necessary. */
   check(server: TrackedServer, isUrgent: boolean, now: number): Admission {
-    const limit = server.rate.current(now);
+    const limit = server.rateLimit.current(now);
     if (limit === null) {
       this.#states.delete(server.id);
       return { kind: "ready" };
@@ -140,7 +140,7 @@
         return state;
       case "shared": {
         const interval = this.#interval(limit);
-        const mayTake = this.#share.mayTake(server.id, interval, now);
+        const mayTake = this.#share.maySend(server.id, interval, now);
         return mayTake
           ? { kind: "ready" }
           : { kind: "denied", until: state.until };
@@ -150,7 +150,7 @@
 
   /** Records that a request was sent to a server, which uses the token or the share. */
   started(server: TrackedServer, now: number): void {
-    const limit = server.rate.current(now);
+    const limit = server.rateLimit.current(now);
     if (limit === null) return;
     const state = this.#states.get(server.id);
     if (state?.kind === "granted") this.#states.delete(server.id);
@@ -159,7 +159,7 @@
   }
 
   /** Applies the term holder's answer to a token request. */
-  told(server: string, { isGranted, left }: TokenAnswer, now: number): void {
+  applyAnswer(server: string, { isGranted, left }: TokenAnswer, now: number): void {
     const state = this.#states.get(server);
     if (state?.kind !== "asked") return;
     const { isUrgent } = state;
@@ -187,13 +187,13 @@
     if (this.#states.size >= MAXIMUM_SERVERS) this.#removeExpired(now);
     const until = now + ANSWER_TIMEOUT;
     this.#states.set(server.id, { kind: "asked", until, isUrgent });
-    const answer = this.channel.ask(server, isUrgent, now);
+    const answer = this.channel.requestToken(server, isUrgent, now);
     if (answer === null) return { kind: "asked", until };
     if (answer === "unreachable") {
       const shared = { kind: "shared", until: now + SHARE_DURATION } as const;
       this.#states.set(server.id, shared);
     } else {
-      this.told(server.id, answer, now);
+      this.applyAnswer(server.id, answer, now);
     }
     return this.check(server, isUrgent, now);
   }
--- a/src/core/rates/rate_tokens_test.ts
+++ b/src/core/rates/rate_tokens_test.ts
@@ -8,12 +8,12 @@
   const fleet = Fleet.create();
   fleet.apply([backendServer("s")], [], 0);
   const server = fleet.get("s")!;
-  server.rate.answered(requestsPerSecond, 0, 0);
+  server.rateLimit.answered(requestsPerSecond, 0, 0);
   return server;
 }
 
-function tokensWith(ask: TokenChannel["ask"], vms = 10): RateTokens {
-  return RateTokens.create({ ask }, () => vms, () => 0.5);
+function tokensWith(ask: TokenChannel["requestToken"], vms = 10): RateTokens {
+  return RateTokens.create({ requestToken: ask }, () => vms, () => 0.5);
 }
 
 test("rate tokens: a server without a limit needs none", (t) => {
@@ -33,7 +33,7 @@
   t.is(tokens.check(server, true, 0).kind, "asked");
   t.is(tokens.check(server, true, 1).kind, "asked");
   t.is(requested, 1);
-  tokens.told("s", { isGranted: true, left: 0 }, 4);
+  tokens.applyAnswer("s", { isGranted: true, left: 0 }, 4);
   t.is(tokens.check(server, true, 5).kind, "ready");
   tokens.started(server, 5);
   t.is(tokens.check(server, true, 6).kind, "asked");
--- a/src/core/registry/registry_news.ts
+++ b/src/core/registry/registry_news.ts
@@ -9,8 +9,8 @@
 
 const position = z.number().int().nonnegative();
 
-/** Schema of {@linkcode RegistryNews}. */
-export const registryNewsSchema = z.object({
+/** Schema of {@linkcode RegistryUpdate}. */
+export const registryUpdateSchema = z.object({
   /** Position after which the changes begin; they are complete. */
   since: position,
   /** Position of the registry after the changes. */
@@ -25,4 +25,4 @@
 });
 
 /** See the module's comment. */
-export type RegistryNews = z.infer<typeof registryNewsSchema>;
+export type RegistryUpdate = z.infer<typeof registryUpdateSchema>;
--- a/src/core/registry/registry_replica.ts
+++ b/src/core/registry/registry_replica.ts
@@ -20,7 +20,7 @@
  * @module
  */
 import type { BackendServer } from "../fleet/index.ts";
-import type { RegistryNews } from "./registry_news.ts";
+import type { RegistryUpdate } from "./registry_news.ts";
 import type { RegistryFetch, RegistryRead } from "./registry_read.ts";
 
 /** Pause after a failed read, in milliseconds. */
@@ -94,7 +94,7 @@
   /** Position at which a server's listed incarnation was first known; 0 if the server is
    * not listed. A report on the server from a VM at an older position may be about
    * another incarnation. */
-  runSince(id: string): number {
+  incarnationSince(id: string): number {
     return this.#incarnationSince.get(id) ?? 0;
   }
 
@@ -113,7 +113,7 @@
 
   /** Applies the result of a read that was sent at `sentAt`. Returns false if it is older
    * than the replica because an update arrived in the meantime. */
-  read(read: RegistryRead, sentAt: number): boolean {
+  applyRead(read: RegistryRead, sentAt: number): boolean {
     this.#isReading = false;
     this.#knownAt = Math.max(this.#knownAt, sentAt);
     if (read.position < (this.#position ?? 0)) return false;
@@ -136,7 +136,7 @@
   }
 
   /** Applies an update; returns null if it starts after the replica's position. */
-  take(update: RegistryNews): RegistryChanges | null {
+  applyUpdate(update: RegistryUpdate): RegistryChanges | null {
     if (this.#position === null || update.since > this.#position) return null;
     if (update.knownAt !== null) {
       this.#knownAt = Math.max(this.#knownAt, update.knownAt);
@@ -150,7 +150,7 @@
    * Returns the changes since a position, or null if they are not known. `knownAt` is
    * {@linkcode RegistryReplica.knownAt} of this replica by the receiver's clock.
    */
-  news(since: number, knownAt: number | null): RegistryNews | null {
+  updateSince(since: number, knownAt: number | null): RegistryUpdate | null {
     const position = this.#position;
     if (position === null) return null;
     const ids = this.#changedSince(since);
--- a/src/core/registry/registry_replica_test.ts
+++ b/src/core/registry/registry_replica_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import fc from "fast-check";
 import type { BackendServer } from "../fleet/index.ts";
-import type { RegistryNews } from "./registry_news.ts";
+import type { RegistryUpdate } from "./registry_news.ts";
 import type { RegistryRead } from "./registry_read.ts";
 import { type RegistryChanges, RegistryReplica } from "./registry_replica.ts";
 
@@ -35,24 +35,24 @@
 /** A replica that read `servers` as the complete registry at time 0. */
 function replicaOf(position: number, servers: BackendServer[]) {
   const replica = RegistryReplica.create();
-  replica.read(read(position, servers, [], true), 0);
+  replica.applyRead(read(position, servers, [], true), 0);
   return replica;
 }
 
 test("registry: an update contains a restarted server", (t) => {
   const reader = RegistryReplica.create();
-  reader.read(read(10, [server("a")], [], true), 0);
+  reader.applyRead(read(10, [server("a")], [], true), 0);
   const restarted = server("a", false, 5);
-  reader.read(read(11, [restarted]), 100);
-  t.deepEqual(reader.news(10, null)?.entries, [restarted]);
+  reader.applyRead(read(11, [restarted]), 100);
+  t.deepEqual(reader.updateSince(10, null)?.entries, [restarted]);
 });
 
 test("registry: an update brings a follower to the reader's position", (t) => {
   const reader = replicaOf(10, [server("a"), server("b")]);
   const follower = replicaOf(10, [server("a"), server("b")]);
-  reader.read(read(14, [server("a", true), server("c")], ["b"]), 450);
-  const update = reader.news(follower.position!, 430)!;
-  t.snapshot({ news: update, taken: follower.take(update) });
+  reader.applyRead(read(14, [server("a", true), server("c")], ["b"]), 450);
+  const update = reader.updateSince(follower.position!, 430)!;
+  t.snapshot({ news: update, taken: follower.applyUpdate(update) });
   t.is(follower.position, 14);
   t.is(follower.knownAt, 430);
 });
@@ -60,41 +60,41 @@
 test("registry: an update omits heartbeats", (t) => {
   const cold = { ...server("a"), warmUp: 1_800 };
   const reader = replicaOf(10, [cold]);
-  reader.read(read(11, [{ ...cold, warmUp: 900 }]), 450);
-  reader.read(read(12, [{ ...cold, warmUp: 0 }]), 450);
-  const update = reader.news(10, 440)!;
+  reader.applyRead(read(11, [{ ...cold, warmUp: 900 }]), 450);
+  reader.applyRead(read(12, [{ ...cold, warmUp: 0 }]), 450);
+  const update = reader.updateSince(10, 440)!;
   t.deepEqual(update.entries, []);
   const follower = replicaOf(10, [cold]);
-  t.deepEqual(follower.take(update)?.entries, []);
+  t.deepEqual(follower.applyUpdate(update)?.entries, []);
   t.is(follower.position, 12);
 });
 
 test("registry: an update contains a server that becomes cold again", (t) => {
   const cold = { ...server("a"), warmUp: 1_800 };
   const reader = replicaOf(10, [cold]);
-  reader.read(read(11, [{ ...cold, warmUp: 100 }]), 450);
-  reader.read(read(12, [{ ...cold, warmUp: 1_700 }]), 450);
-  t.deepEqual(reader.news(10, 440)!.entries, [{ ...cold, warmUp: 1_700 }]);
+  reader.applyRead(read(11, [{ ...cold, warmUp: 100 }]), 450);
+  reader.applyRead(read(12, [{ ...cold, warmUp: 1_700 }]), 450);
+  t.deepEqual(reader.updateSince(10, 440)!.entries, [{ ...cold, warmUp: 1_700 }]);
 });
 
 test("registry: rejects an update that starts after the replica's position", (t) => {
   const reader = replicaOf(10, [server("a")]);
   const behind = replicaOf(8, []);
-  t.is(reader.news(behind.position!, 1), null);
-  reader.read(read(12, [server("b")]), 450);
-  t.is(behind.take(reader.news(10, 440)!), null);
+  t.is(reader.updateSince(behind.position!, 1), null);
+  reader.applyRead(read(12, [server("b")]), 450);
+  t.is(behind.applyUpdate(reader.updateSince(10, 440)!), null);
   t.is(behind.knownAt, 0);
-  t.is(RegistryReplica.create().take(reader.news(10, 440)!), null);
+  t.is(RegistryReplica.create().applyUpdate(reader.updateSince(10, 440)!), null);
 });
 
 test("registry: is read when the replica is too old, and again after a failure", (t) => {
   const replica = RegistryReplica.create();
   t.deepEqual(replica.fetch(0, 1_200), { kind: "servers.fetch", from: null });
   t.is(replica.fetch(1, 1_200), null);
-  replica.read(read(10, [], [], true), 5);
+  replica.applyRead(read(10, [], [], true), 5);
   t.is(replica.dueAt(1_200), 1_205);
   const reader = replicaOf(10, []);
-  replica.take(reader.news(10, 800)!);
+  replica.applyUpdate(reader.updateSince(10, 800)!);
   t.is(replica.fetch(1_999, 1_200), null);
   t.deepEqual(replica.fetch(2_000, 1_200), { kind: "servers.fetch", from: 10 });
   replica.failed(false, 2_010);
@@ -109,23 +109,23 @@
   const reader = replicaOf(10, [server("a")]);
   // The read is served before the removal is written, and arrives after the update.
   const late = read(11, [server("a", true)]);
-  reader.read(read(12, [], ["a"]), 100);
-  follower.take(reader.news(10, 90)!);
-  t.false(follower.read(late, 80));
+  reader.applyRead(read(12, [], ["a"]), 100);
+  follower.applyUpdate(reader.updateSince(10, 90)!);
+  t.false(follower.applyRead(late, 80));
   t.is(follower.position, 12);
-  t.is(follower.news(12, null)?.position, 12);
-  t.true(follower.read(read(13, []), 200));
+  t.is(follower.updateSince(12, null)?.position, 12);
+  t.true(follower.applyRead(read(13, []), 200));
 });
 
 test("registry: an update contains an entry that was removed and rewritten unchanged", (t) => {
   const reader = replicaOf(10, [server("a"), server("b")]);
   const follower = replicaOf(10, [server("a"), server("b")]);
-  follower.read(read(11, [], ["a"]), 100);
+  follower.applyRead(read(11, [], ["a"]), 100);
   // The follower read the removal; the reader only reads that the entry was rewritten.
-  reader.read(read(12, [server("a")]), 200);
-  t.deepEqual(reader.news(10, 1)?.entries, []);
-  const update = reader.news(follower.position!, 190)!;
-  t.deepEqual(follower.take(update)?.entries, [server("a")]);
+  reader.applyRead(read(12, [server("a")]), 200);
+  t.deepEqual(reader.updateSince(10, 1)?.entries, []);
+  const update = reader.updateSince(follower.position!, 190)!;
+  t.deepEqual(follower.applyUpdate(update)?.entries, [server("a")]);
 });
 
 test("registry: delayed updates and reads do not restore an older incarnation", (t) => {
@@ -133,44 +133,44 @@
   const newer = server("a", false, 200);
   const reader = replicaOf(10, [older]);
   const follower = replicaOf(10, [older]);
-  const lateUpdate = reader.news(10, 90)!;
-  reader.read(read(12, [newer]), 100);
-  t.deepEqual(follower.take(reader.news(10, 90)!)?.entries, [newer]);
-  t.deepEqual(follower.take(lateUpdate)?.entries, []);
-  t.false(follower.read(read(11, [older]), 80));
-  t.false(follower.read(read(11, [older], [], true), 80));
+  const lateUpdate = reader.updateSince(10, 90)!;
+  reader.applyRead(read(12, [newer]), 100);
+  t.deepEqual(follower.applyUpdate(reader.updateSince(10, 90)!)?.entries, [newer]);
+  t.deepEqual(follower.applyUpdate(lateUpdate)?.entries, []);
+  t.false(follower.applyRead(read(11, [older]), 80));
+  t.false(follower.applyRead(read(11, [older], [], true), 80));
   for (const each of [reader, follower]) {
-    t.deepEqual(each.news(10, null)?.entries, [newer]);
+    t.deepEqual(each.updateSince(10, null)?.entries, [newer]);
   }
 });
 
 test("registry: the incarnation that is listed later is the newer, even if the clock stepped back", (t) => {
   const reader = replicaOf(10, [server("a", false, 200)]);
   const newer = server("a", false, 100);
-  reader.read(read(11, [newer]), 100);
-  t.deepEqual(reader.news(10, null)?.entries, [newer]);
+  reader.applyRead(read(11, [newer]), 100);
+  t.deepEqual(reader.updateSince(10, null)?.entries, [newer]);
 });
 
 test("registry: knows the position at which an incarnation was first listed", (t) => {
   const replica = replicaOf(10, [server("a", false, 100)]);
-  replica.read(read(12, [server("a", true, 100), server("b")]), 100);
-  t.is(replica.runSince("a"), 10);
-  t.is(replica.runSince("b"), 12);
-  replica.read(read(14, [server("a", false, 200)]), 200);
-  t.is(replica.runSince("a"), 14);
+  replica.applyRead(read(12, [server("a", true, 100), server("b")]), 100);
+  t.is(replica.incarnationSince("a"), 10);
+  t.is(replica.incarnationSince("b"), 12);
+  replica.applyRead(read(14, [server("a", false, 200)]), 200);
+  t.is(replica.incarnationSince("a"), 14);
   const all = [server("a", false, 200), server("b", false, 1)];
-  replica.read(read(16, all, [], true), 300);
-  t.is(replica.runSince("a"), 14);
-  t.is(replica.runSince("b"), 16);
-  replica.read(read(18, [], ["a"]), 400);
-  t.is(replica.runSince("a"), 0);
+  replica.applyRead(read(16, all, [], true), 300);
+  t.is(replica.incarnationSince("a"), 14);
+  t.is(replica.incarnationSince("b"), 16);
+  replica.applyRead(read(18, [], ["a"]), 400);
+  t.is(replica.incarnationSince("a"), 0);
 });
 
 test("registry: an update names unreadable entries, from whatever position", (t) => {
   const reader = replicaOf(10, [server("a"), server("b")]);
   const follower = replicaOf(10, [server("a"), server("b")]);
-  reader.read(read(12, [], [], false, ["a", "never listed"]), 100);
-  const update = reader.news(10, 90)!;
+  reader.applyRead(read(12, [], [], false, ["a", "never listed"]), 100);
+  const update = reader.updateSince(10, 90)!;
   t.deepEqual(
     {
       entries: update.entries,
@@ -179,15 +179,15 @@
     },
     { entries: [], removed: [], unreadable: ["a"] },
   );
-  t.deepEqual(follower.take(update)?.unreadable, ["a"]);
-  t.deepEqual(follower.news(10, null)?.unreadable, ["a"]);
-  reader.read(read(14, [server("a")]), 200);
-  t.deepEqual(reader.news(12, 190)?.entries, [server("a")]);
-  t.deepEqual(follower.take(reader.news(12, 190)!)?.entries, [server("a")]);
-  reader.read(read(16, [server("b")], [], true, ["a"]), 300);
-  t.deepEqual(reader.news(16, 290)?.unreadable, []);
-  reader.read(read(18, [], ["a"]), 400);
-  t.deepEqual(reader.news(16, 390)?.removed, ["a"]);
+  t.deepEqual(follower.applyUpdate(update)?.unreadable, ["a"]);
+  t.deepEqual(follower.updateSince(10, null)?.unreadable, ["a"]);
+  reader.applyRead(read(14, [server("a")]), 200);
+  t.deepEqual(reader.updateSince(12, 190)?.entries, [server("a")]);
+  t.deepEqual(follower.applyUpdate(reader.updateSince(12, 190)!)?.entries, [server("a")]);
+  reader.applyRead(read(16, [server("b")], [], true, ["a"]), 300);
+  t.deepEqual(reader.updateSince(16, 290)?.unreadable, []);
+  reader.applyRead(read(18, [], ["a"]), 400);
+  t.deepEqual(reader.updateSince(16, 390)?.removed, ["a"]);
 });
 
 /** Applies changes to a list of incarnation and drain state by server id. */
@@ -245,7 +245,7 @@
         const reader = replicaOf(0, []);
         const follower = replicaOf(0, []);
         const view = new Map<string, string>();
-        const sent: RegistryNews[] = [];
+        const sent: RegistryUpdate[] = [];
         for (const each of actions) {
           if (each.kind === "write") {
             const entry = each.state === "removed"
@@ -255,17 +255,17 @@
               : server(each.id, each.state === "draining", each.incarnation);
             log.push({ id: each.id, entry });
           } else if (each.kind === "read") {
-            reader.read(since(reader.position!), 0);
+            reader.applyRead(since(reader.position!), 0);
           } else if (each.kind === "read by follower") {
             const own = since(follower.position!);
-            follower.read(own, 0);
+            follower.applyRead(own, 0);
             applyTo(view, own);
           } else if (each.kind === "send") {
-            const update = reader.news(follower.position!, 0);
+            const update = reader.updateSince(follower.position!, 0);
             if (update !== null) sent.push(update);
           } else if (sent.length > 0) {
             const update = sent[Math.max(0, sent.length - 1 - each.age)];
-            const changes = follower.take(update);
+            const changes = follower.applyUpdate(update);
             if (changes !== null) applyTo(view, changes);
           }
           const expected = new Map<string, string>();
--- a/src/runtime/backend_pool.ts
+++ b/src/runtime/backend_pool.ts
@@ -16,7 +16,7 @@
 } from "node:http";
 import { connect, type Socket } from "node:net";
 import type { AttemptStart } from "../core/dispatch/index.ts";
-import type { ServerCheck } from "../core/quarantine/index.ts";
+import type { ServerProbe } from "../core/quarantine/index.ts";
 import { errorText } from "../errors/index.ts";
 import { parseAddress } from "../settings/address.ts";
 import type { AnswerFacts, HeaderCodec } from "./header_codec.ts";
@@ -168,7 +168,7 @@
   }
 
   /** Checks whether a process listens at a server's address. */
-  probe({ server, address }: ServerCheck): void {
+  probe({ server, address }: ServerProbe): void {
     const { host, port } = parseAddress(address);
     const socket = connect({ host, port });
     socket.setTimeout(CONNECT_TIMEOUT);
--- a/src/runtime/caller_server_test.ts
+++ b/src/runtime/caller_server_test.ts
@@ -75,7 +75,7 @@
     target: "/a/b?c=1",
     body: Buffer.from("ok"),
   });
-  t.is(arrivals()[0].fingerprint.whole, sent.whole);
+  t.is(arrivals()[0].fingerprint.complete, sent.complete);
 });
 
 test("caller server: responds to pipelined requests in order", async (t) => {
@@ -356,6 +356,6 @@
     connectFrom(address).write(get("/ends"));
   }
   await waitUntil(() => arrivals().length === 3);
-  const whole = arrivals().map(({ fingerprint }) => fingerprint.whole);
+  const whole = arrivals().map(({ fingerprint }) => fingerprint.complete);
   t.is(new Set(whole).size, 1);
 });
