--- a/bench/quarantine.ts
+++ b/bench/quarantine.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import { encodeFrame } from "../src/runtime/frame.ts";
-import { World } from "../test/ownership/world.ts";
+import { Simulation } from "../test/ownership/world.ts";
 import { printMeasurement } from "./figure.ts";
 
 const VM_COUNTS = [11, 74, 195, 820];
@@ -25,7 +25,7 @@
 }
 
 function measure(vms: number): void {
-  const report = World.play({
+  const report = Simulation.runToEnd({
     vms,
     servers: SERVERS,
     faults: [],
@@ -44,23 +44,23 @@
       target: 800,
       timeout: 3_000,
       keyOf: (draw) => Math.floor(draw() * 65_536),
-      ending: {
+      crashingRequest: {
         from: FIRST_REQUEST,
         until: DURATION,
-        pause: REQUEST_INTERVAL,
+        interval: REQUEST_INTERVAL,
         key: 1,
         work: 60,
       },
     },
   });
-  const { serverEnds, heldBackAt, quarantineMessages, load } = report;
+  const { serverCrashTimes: serverEnds, quarantinedAt: heldBackAt, quarantineMessages, load } = report;
   const conditions = { vms };
   const lastQuarantined = Math.max(...heldBackAt.values());
   const print = (name: string, value: number, unit: string) =>
     printMeasurement({ name: `held back: ${name}`, value, unit, conditions });
   print("VMs that hold it", heldBackAt.size, "VMs");
   print("last VM after the third end", lastQuarantined - serverEnds[2], "ms");
-  print("runs in all", load!.endingRuns.length, "runs");
+  print("runs in all", load!.crashingRuns.length, "runs");
   print("messages that tell of it", quarantineMessages.length, "messages");
   const bytes = quarantineMessages.map(({ kind, quarantine }) => {
     const part = { kind, quarantine };
--- a/src/core/beliefs.ts
+++ b/src/core/beliefs.ts
@@ -27,14 +27,14 @@
 type Detail = Record<string, string | number | boolean | null>;
 
 /** See the module's comment. */
-export class Beliefs {
+export class ClusterState {
   readonly catalog = Catalog.create();
   readonly fleet = Fleet.create();
   readonly directory = KeyDirectory.create();
   readonly keyLimits = KeyLimits.create();
   readonly registry = RegistryReplica.create();
   readonly quarantine = Quarantine.create(({ kind, crashes }) =>
-    this.note(`quarantine.${kind}`, {
+    this.logDecision(`quarantine.${kind}`, {
       fingerprint: crashes.request,
       target: crashes.target,
       round: crashes.round,
@@ -57,8 +57,8 @@
   static create(
     emit: Emit,
     serverEnded: (crash: CrashAttribution) => void = () => {},
-  ): Beliefs {
-    return new Beliefs(emit, serverEnded);
+  ): ClusterState {
+    return new ClusterState(emit, serverEnded);
   }
 
   /** The announced term holder with the highest term, or null. */
@@ -67,7 +67,7 @@
   }
 
   /** Versions of the state that this VM has, as messages to other VMs carry them. */
-  knowledge(position = this.directory.position): SenderState {
+  senderState(position = this.directory.position): SenderState {
     const { term, version } = position;
     const evacuation = this.fleet.evacuations.snapshot;
     return {
@@ -81,7 +81,7 @@
   /** Applies a configuration if its version is newer. */
   configure(configuration: Configuration): void {
     if (!this.catalog.apply(configuration)) return;
-    this.note("configuration.applied", {
+    this.logDecision("configuration.applied", {
       version: this.catalog.version,
       routes: configuration.routes.length,
     });
@@ -94,7 +94,7 @@
   }
 
   /** Applies evacuated zones that another VM has sent. */
-  evacuationsTold(snapshot: EvacuationSnapshot, now: number): void {
+  applyPeerEvacuations(snapshot: EvacuationSnapshot, now: number): void {
     this.#applyEvacuation(this.fleet.evacuations.applySnapshot(snapshot), now);
   }
 
@@ -102,22 +102,22 @@
     const { position } = this.fleet.evacuations;
     this.fleet.applyEvacuations(change, now);
     for (const zone of change.evacuated) {
-      this.note("zone.evacuated", { zone, position });
+      this.logDecision("zone.evacuated", { zone, position });
     }
     for (const zone of change.restored) {
-      this.note("zone.restored", { zone, position });
+      this.logDecision("zone.restored", { zone, position });
     }
   }
 
   /** Applies rate limits that other VMs have received from servers. */
-  hearRates(rates: readonly ServerRateLimit[], now: number): void {
+  applyPeerRates(rates: readonly ServerRateLimit[], now: number): void {
     const changes = this.fleet.applyPeerRateLimits(rates, now);
-    for (const each of changes) this.rateLimitChanged(each, now);
+    for (const each of changes) this.logRateLimitChange(each, now);
   }
 
   /** Logs the start or the end of a server's rate limit. */
-  rateLimitChanged({ server, change }: ServerRateLimitChange, now: number): void {
-    this.note(`server.${change}`, {
+  logRateLimitChange({ server, change }: ServerRateLimitChange, now: number): void {
+    this.logDecision(`server.${change}`, {
       server: server.id,
       service: server.entry.service,
       requestsPerSecond: server.rateLimit.current(now),
@@ -126,13 +126,13 @@
 
   /** Handles changes to the list of servers: closes the connections to servers that
    * were removed or have restarted, and logs each change. */
-  changeServers(changes: readonly FleetChange[], now: number): void {
+  applyServerChanges(changes: readonly FleetChange[], now: number): void {
     this.crashDetector.changed(changes, now);
     for (const { kind, server } of changes) {
       if (kind === "removed" || kind === "restarted") {
         this.emit({ kind: "connections.close", server: server.id });
       }
-      this.note(`server.${kind}`, {
+      this.logDecision(`server.${kind}`, {
         server: server.id,
         service: server.service,
         address: server.address,
@@ -147,14 +147,14 @@
    * expired during the outage get time to register again. */
   storeRegained(now: number): void {
     this.fleet.recovered(now);
-    this.note("store.regained", {});
+    this.logDecision("store.regained", {});
   }
 
   /** Applies those assignments that are newer than the known ones. */
   assign(assignments: readonly Assignment[]): void {
     for (const assignment of assignments) {
       if (!this.directory.apply(assignment)) continue;
-      this.note("assignment.read", {
+      this.logDecision("assignment.read", {
         service: assignment.service,
         term: assignment.term,
         version: assignment.version,
@@ -166,11 +166,11 @@
 
   /** Applies changes to the assignments relative to version `since`. A change that does
    * not follow on the known version is dropped, and the assignment is requested again. */
-  changeAssignments(changes: readonly Assignment[], since: number): void {
+  applyAssignmentChanges(changes: readonly Assignment[], since: number): void {
     for (const change of changes) {
       if (!this.directory.applyChanges(change, since)) continue;
       if (change.ranges.length === 0) continue;
-      this.note("assignment.changed", {
+      this.logDecision("assignment.changed", {
         service: change.service,
         term: change.term,
         version: change.version,
@@ -181,10 +181,10 @@
   }
 
   /** Accepts an announced term holder if its term is newer; returns whether it is. */
-  followHolder(holder: HolderAddress): boolean {
+  acceptHolder(holder: HolderAddress): boolean {
     if (holder.term <= (this.#holder?.term ?? -1)) return false;
     this.#holder = holder;
-    this.note("holder.announced", { ...holder });
+    this.logDecision("holder.announced", { ...holder });
     return true;
   }
 
@@ -192,7 +192,7 @@
     const { request, server, isNew: isNews } = crash;
     this.serverEnded(crash);
     if (!isNews) return;
-    this.note("request.accused", {
+    this.logDecision("request.accused", {
       request: request.id,
       server,
       fingerprint: request.fingerprint,
@@ -201,7 +201,7 @@
   }
 
   /** Emits a log line. */
-  note(decision: string, detail: Detail): void {
+  logDecision(decision: string, detail: Detail): void {
     this.emit({ kind: "note", level: "info", decision, detail });
   }
 }
--- a/src/core/catalog/catalog.ts
+++ b/src/core/catalog/catalog.ts
@@ -84,7 +84,7 @@
   }
 
   /** Chooses the service for the next request on `route`. */
-  destination(route: Route): string {
+  chooseDestination(route: Route): string {
     if (route.destinations.length === 1) return route.destinations[0].service;
     let rotation = this.#rotations.get(route.name);
     if (rotation === undefined) {
--- a/src/core/dispatch/dispatcher.ts
+++ b/src/core/dispatch/dispatcher.ts
@@ -194,7 +194,7 @@
     now: number,
   ): PendingRequest {
     const { catalog, draw } = this.context;
-    const service = catalog.destination(route);
+    const service = catalog.chooseDestination(route);
     const isKeyed = catalog.service(service)?.isKeyed ?? false;
     const key = isKeyed ? arrival.key : null;
     const request = createPendingRequest(
--- a/src/core/entry.ts
+++ b/src/core/entry.ts
@@ -6,7 +6,7 @@
  *
  * @module
  */
-import { Beliefs } from "./beliefs.ts";
+import { ClusterState } from "./beliefs.ts";
 import { ColdAdmission, Dispatcher } from "./dispatch/index.ts";
 import type { RequestArrival } from "./dispatch/index.ts";
 import type { EntryEffect } from "./entry_effect.ts";
@@ -34,7 +34,7 @@
 
 /** See the module's comment. */
 export class Entry {
-  readonly beliefs: Beliefs;
+  readonly clusterState: ClusterState;
   readonly campaign: TermCampaign;
   readonly peers: PeerExchange;
   readonly dispatcher: Dispatcher;
@@ -53,13 +53,13 @@
 
   private constructor(options: EntryOptions) {
     const emit = (...effects: EntryEffect[]) => this.#emit(...effects);
-    this.beliefs = Beliefs.create(
+    this.clusterState = ClusterState.create(
       emit,
       ({ request: { id, fingerprint } }) =>
         this.peers.permitExchange.permits.serverEnded(fingerprint, id),
     );
-    const { catalog, fleet, directory, keyLimits } = this.beliefs;
-    const { quarantine, crashDetector } = this.beliefs;
+    const { catalog, fleet, directory, keyLimits } = this.clusterState;
+    const { quarantine, crashDetector } = this.clusterState;
     this.#quarantineRecord = QuarantineRecord.create(quarantine);
     this.campaign = TermCampaign.create(
       options.leaseTiming,
@@ -68,7 +68,7 @@
       options.fitness,
     );
     this.peers = PeerExchange.create(
-      this.beliefs,
+      this.clusterState,
       this.campaign,
       this.#loads,
       this.#store,
@@ -148,7 +148,7 @@
       this.peers.nextAt(),
       Math.max(
         this.#store.retryAt,
-        this.beliefs.registry.dueAt(this.#registryAge),
+        this.clusterState.registry.dueAt(this.#registryAge),
       ),
       now + Math.min(interval, shutdownInterval),
     );
@@ -169,16 +169,16 @@
       case "clock.jumped":
         return this.#clockJumped(event.gap, event.isCertain);
       case "configuration.read":
-        return this.beliefs.configure(event.configuration);
+        return this.clusterState.configure(event.configuration);
       case "evacuations.read":
-        return this.beliefs.applyStoredEvacuations(event.read, now);
+        return this.clusterState.applyStoredEvacuations(event.read, now);
       case "servers.read":
         return this.#readServers(event);
       case "servers.failed":
-        return this.beliefs.registry.failed(event.isExpired, now);
+        return this.clusterState.registry.failed(event.isExpired, now);
       case "assignments.read":
         this.peers.assignmentsRead(event.assignments, now);
-        return this.beliefs.assign(event.assignments);
+        return this.clusterState.assign(event.assignments);
       case "quarantine.read":
         return this.#quarantineRecord.read(event.records, now);
       case "quarantine.written":
@@ -203,7 +203,7 @@
         return this.#emit(...this.campaign.onRecordsRead(event.records, now));
       case "term.claimed": {
         const { term, outcome } = event;
-        this.beliefs.note("term.claimed", { term, outcome });
+        this.clusterState.logDecision("term.claimed", { term, outcome });
         return this.#termClaimed(this.campaign.onClaimed(term, outcome, now));
       }
       case "assignments.written": {
@@ -237,7 +237,7 @@
           ...this.dispatcher.attemptEnded(event.attempt, event.outcome, now),
         );
       case "server.checked": {
-        const { crashDetector, fleet } = this.beliefs;
+        const { crashDetector, fleet } = this.clusterState;
         if (!event.isRefused) return crashDetector.probeSucceeded(event.server);
         return crashDetector.ended(fleet.get(event.server), now);
       }
@@ -250,11 +250,11 @@
 
   /** Carries out what depends on the time alone. */
   #advance(now: number, isTimerEvent: boolean): void {
-    const { catalog, fleet } = this.beliefs;
-    this.beliefs.changeServers(fleet.expire(now), now);
+    const { catalog, fleet } = this.clusterState;
+    this.clusterState.applyServerChanges(fleet.expire(now), now);
     if (this.#store.advance(now)) {
       const silence = Math.round(this.storeSilence(now));
-      this.beliefs.note("store.lost", { silence });
+      this.clusterState.logDecision("store.lost", { silence });
     }
     this.#advanceRegistry(now);
     this.#advanceCampaign(
@@ -273,7 +273,7 @@
   /** Reads the registry when the local copy is too old. */
   #advanceRegistry(now: number): void {
     if (this.#store.isFailing(now)) return;
-    const fetch = this.beliefs.registry.fetch(now, this.#registryAge);
+    const fetch = this.clusterState.registry.fetch(now, this.#registryAge);
     if (fetch !== null) this.#emit(fetch);
   }
 
@@ -307,7 +307,7 @@
       if (write !== null) this.#emit(write);
     }
     const to = this.campaign.phase;
-    if (from !== to) this.beliefs.note("term.phase", { from, to });
+    if (from !== to) this.clusterState.logDecision("term.phase", { from, to });
   }
 
   /** Stops following the store's feeds while the term holder sends this VM all updates.
@@ -317,16 +317,16 @@
     const isFollowing = !this.peers.hasHolderUpdates(now);
     if (isFollowing === this.#isFollowingFeeds) return;
     this.#isFollowingFeeds = isFollowing;
-    this.beliefs.note("feeds.turned", { isFollowing });
+    this.clusterState.logDecision("feeds.turned", { isFollowing });
     this.#emit({ kind: "feeds.follow", isOn: isFollowing });
   }
 
   #readServers(event: EntryEvent & { kind: "servers.read" }): void {
-    const { fleet, registry } = this.beliefs;
+    const { fleet, registry } = this.clusterState;
     const { read, sentAt, now } = event;
     const { entries, removed, unreadable, isWhole } = read;
     if (!registry.applyRead(read, sentAt)) return;
-    this.beliefs.changeServers(
+    this.clusterState.applyServerChanges(
       isWhole
         ? fleet.replace(entries, now, unreadable)
         : fleet.apply(entries, removed, now, unreadable),
@@ -341,7 +341,7 @@
    * all state from which it would conclude that they have. */
   #clockJumped(gap: number, isCertain: boolean): void {
     const detail = { gap: Math.round(gap), isCertain };
-    this.beliefs.note("clock.jumped", detail);
+    this.clusterState.logDecision("clock.jumped", detail);
     this.peers.followerLink.expedite();
     if (isCertain) return;
     this.campaign.onClockJumped();
@@ -358,7 +358,7 @@
 
   #storeAnswered(sentAt: number, now: number): void {
     if (!this.#store.answered(sentAt, now)) return;
-    this.beliefs.storeRegained(now);
+    this.clusterState.storeRegained(now);
   }
 
   /** Logs the first failure of each step since the store last answered. */
@@ -375,7 +375,7 @@
   /** Records a request's key as a sample of the load by key. */
   #recordKey({ host, target, key }: RequestArrival, now: number): void {
     if (key === null) return;
-    const { catalog } = this.beliefs;
+    const { catalog } = this.clusterState;
     for (const { service } of catalog.route(host, target)?.destinations ?? []) {
       if (!catalog.service(service)?.isKeyed) continue;
       this.#loads.of(service).record(key, now);
@@ -384,11 +384,11 @@
   }
 
   #updateReadiness(): void {
-    const isKnown = this.beliefs.catalog.isKnown;
+    const isKnown = this.clusterState.catalog.isKnown;
     const isReady = isKnown && !this.#shutdown.isStarted;
     if (isReady === this.#isReady) return;
     this.#isReady = isReady;
-    this.beliefs.note("readiness.changed", { isReady });
+    this.clusterState.logDecision("readiness.changed", { isReady });
     this.#emit({ kind: "readiness.set", isReady });
   }
 
@@ -404,7 +404,7 @@
     if (!this.#shutdown.start(now - lateness)) return;
     const { pending } = this.dispatcher;
     const detail = { pending, lateness: Math.round(lateness) };
-    this.beliefs.note("shutdown.started", detail);
+    this.clusterState.logDecision("shutdown.started", detail);
     this.#emit({ kind: "callers.drain" }, ...this.campaign.retire());
   }
 
--- a/src/core/entry_event.ts
+++ b/src/core/entry_event.ts
@@ -22,7 +22,7 @@
 export const MEMBERSHIP_STEP = "join a group";
 
 /** An event without its time. */
-export type Occurrence =
+export type UntimedEvent =
   /** The timer that the core requested has expired. */
   | { kind: "timer" }
   /** The clock has jumped by `gap` milliseconds. If `isCertain`, the machine was
@@ -67,4 +67,4 @@
   | { kind: "shutdown"; lateness: number };
 
 /** See the module's comment. */
-export type EntryEvent = Occurrence & { now: number };
+export type EntryEvent = UntimedEvent & { now: number };
--- a/src/core/entry_status.ts
+++ b/src/core/entry_status.ts
@@ -63,8 +63,8 @@
 export function describeEntry(entry: Entry, now: number): EntryStatus {
   return {
     configuration: {
-      version: entry.beliefs.catalog.version,
-      routes: entry.beliefs.catalog.routeCount,
+      version: entry.clusterState.catalog.version,
+      routes: entry.clusterState.catalog.routeCount,
     },
     isReady: entry.isReady,
     pending: entry.dispatcher.pending,
@@ -75,7 +75,7 @@
       holder: entry.peers.followerLink.holder,
       holderSilence: Math.round(entry.peers.followerLink.silence(now)),
     },
-    servers: entry.beliefs.fleet.all().map((server) => ({
+    servers: entry.clusterState.fleet.all().map((server) => ({
       id: server.id,
       service: server.entry.service,
       availabilityZone: server.entry.availabilityZone,
@@ -87,8 +87,8 @@
       latency: server.latency,
       rateLimit: server.rateLimit.current(now),
     })),
-    evacuatedZones: entry.beliefs.fleet.evacuations.zones,
-    assignments: entry.beliefs.directory.assignments.map((each) => ({
+    evacuatedZones: entry.clusterState.fleet.evacuations.zones,
+    assignments: entry.clusterState.directory.assignments.map((each) => ({
       service: each.service,
       term: each.term,
       version: each.version,
@@ -96,7 +96,7 @@
       open: each.ranges.filter((range) => range.isOpen).length,
       servers: new Set(each.ranges.map((range) => range.server)).size,
     })),
-    quarantine: entry.beliefs.quarantine.holds(now).map((hold) => ({
+    quarantine: entry.clusterState.quarantine.holds(now).map((hold) => ({
       fingerprint: hold.request,
       target: hold.target,
       ends: hold.runs.length,
--- a/src/core/entry_test.ts
+++ b/src/core/entry_test.ts
@@ -4,16 +4,16 @@
 import { emptyConfiguration } from "../../test/support/empty_configuration.ts";
 import { createSteppedEntry } from "../../test/support/stepped_entry.ts";
 import type { EntryEffect } from "./entry_effect.ts";
-import type { Occurrence } from "./entry_event.ts";
+import type { UntimedEvent } from "./entry_event.ts";
 
-function configurationRead(version: number): Occurrence {
+function configurationRead(version: number): UntimedEvent {
   return {
     kind: "configuration.read",
     configuration: emptyConfiguration(version),
   };
 }
 
-function holderAlive(configuration: number): Occurrence {
+function holderAlive(configuration: number): UntimedEvent {
   return {
     kind: "peer.received",
     address: "holder",
@@ -69,7 +69,7 @@
 
 test("entry: during a store outage only the first failure of each step is logged", (t) => {
   const { step } = createSteppedEntry();
-  const failed = (step: string): Occurrence => ({
+  const failed = (step: string): UntimedEvent => ({
     kind: "store.failed",
     step,
     cause: "no answer",
@@ -110,7 +110,7 @@
   const { entry, step } = createSteppedEntry();
   const stateTold = (
     servers: [id: string, incarnation: number][],
-  ): Occurrence => {
+  ): UntimedEvent => {
     const read = configurationRead(1);
     if (read.kind !== "configuration.read") throw new Error("unexpected");
     return {
@@ -136,7 +136,7 @@
   // The store stays unreachable, so state from peers is still applied.
   step(60_000, { kind: "timer" });
   step(60_010, stateTold([["i-1", 100], ["i-2", 300]]));
-  const runs = entry.beliefs.fleet.all().map((each) =>
+  const runs = entry.clusterState.fleet.all().map((each) =>
     `${each.id} ${each.entry.incarnation}`
   );
   t.deepEqual(runs, ["i-1 200", "i-2 300"]);
@@ -156,7 +156,7 @@
     const configuration = configurationRead(1);
     if (configuration.kind !== "configuration.read") return t.fail();
     const knowledge = { term: 0, version: 0, configuration: 1 };
-    const stateTold: Occurrence = {
+    const stateTold: UntimedEvent = {
       kind: "peer.received",
       address: "vm-2",
       message: {
@@ -165,7 +165,7 @@
         state: { ...configuration, servers, assignments: [], holder: null },
       },
     };
-    const serversTold = (since: number, removed: string[]): Occurrence => ({
+    const serversTold = (since: number, removed: string[]): UntimedEvent => ({
       kind: "peer.received",
       address: "vm-3",
       message: {
@@ -197,7 +197,7 @@
     step(63_000, stateTold);
     step(63_500, serversTold(6, []));
     step(66_000, { kind: "timer" });
-    t.deepEqual(entry.beliefs.fleet.all().map(({ id }) => id), []);
+    t.deepEqual(entry.clusterState.fleet.all().map(({ id }) => id), []);
   });
 }
 
@@ -216,7 +216,7 @@
   t.is(fetches(step(0, { kind: "timer" })), 1);
   step(10, { kind: "store.answered", sentAt: 0 });
   step(10, { kind: "servers.read", read, sentAt: 0 });
-  const registryUpdate = (knownAt: number, removed: string[]): Occurrence => ({
+  const registryUpdate = (knownAt: number, removed: string[]): UntimedEvent => ({
     kind: "peer.received",
     address: "holder",
     message: {
--- a/src/core/exchange/configuration_watch.ts
+++ b/src/core/exchange/configuration_watch.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import type { Beliefs, Emit } from "../beliefs.ts";
+import type { ClusterState, Emit } from "../beliefs.ts";
 
 /** How long to wait for a newer configuration to arrive from the store or with the
  * term holder's next answer before fetching it, in milliseconds. */
@@ -24,12 +24,12 @@
   #behindSince = Infinity;
 
   private constructor(
-    private readonly clusterState: Beliefs,
+    private readonly clusterState: ClusterState,
     private readonly emit: Emit,
   ) {}
 
   /** Creates a watch that has seen no newer configuration. */
-  static create(clusterState: Beliefs, emit: Emit): ConfigurationWatch {
+  static create(clusterState: ClusterState, emit: Emit): ConfigurationWatch {
     return new ConfigurationWatch(clusterState, emit);
   }
 
@@ -49,7 +49,7 @@
     if (now - this.#behindSince < gracePeriod) return;
     if (now - this.#fetchedAt < FETCH_INTERVAL) return;
     this.#fetchedAt = now;
-    this.clusterState.note("configuration.behind", { version, newest });
+    this.clusterState.logDecision("configuration.behind", { version, newest });
     this.emit({ kind: "configuration.fetch" });
   }
 }
--- a/src/core/exchange/crowding_watch.ts
+++ b/src/core/exchange/crowding_watch.ts
@@ -5,7 +5,7 @@
  *
  * @module
  */
-import type { Beliefs } from "../beliefs.ts";
+import type { ClusterState } from "../beliefs.ts";
 import {
   DEMAND_WINDOW,
   type KeyLimit,
@@ -30,12 +30,12 @@
   #checkedAt = -Infinity;
 
   private constructor(
-    private readonly clusterState: Beliefs,
+    private readonly clusterState: ClusterState,
     private readonly loads: KeyLoads,
   ) {}
 
   /** Creates a monitor without results. */
-  static create(clusterState: Beliefs, loads: KeyLoads): OverloadMonitor {
+  static create(clusterState: ClusterState, loads: KeyLoads): OverloadMonitor {
     return new OverloadMonitor(clusterState, loads);
   }
 
@@ -69,11 +69,11 @@
     for (const { service, first, last, share } of limits) {
       if (previous.some((each) => isSame(each, { service, first }))) continue;
       const detail = { service, first, last, share };
-      this.clusterState.note("keys.limited", detail);
+      this.clusterState.logDecision("keys.limited", detail);
     }
     for (const { service, first, last } of previous) {
       if (limits.some((each) => isSame(each, { service, first }))) continue;
-      this.clusterState.note("keys.unlimited", { service, first, last });
+      this.clusterState.logDecision("keys.unlimited", { service, first, last });
     }
   }
 
--- a/src/core/exchange/peer_exchange.ts
+++ b/src/core/exchange/peer_exchange.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { Beliefs, Emit } from "../beliefs.ts";
+import type { ClusterState, Emit } from "../beliefs.ts";
 import type {
   ServerRateLimit,
   ServerRateLimitChange,
@@ -52,7 +52,7 @@
   readonly #vmCount = VmCount.create();
 
   private constructor(
-    private readonly clusterState: Beliefs,
+    private readonly clusterState: ClusterState,
     private readonly campaign: TermCampaign,
     loads: KeyLoads,
     private readonly store: StoreHealth,
@@ -93,7 +93,7 @@
   /** Creates an exchange for the process at `ownAddress` that has received no messages.
    * `seeds` are addresses of VMs to contact if the term holder is unknown or silent. */
   static create(
-    clusterState: Beliefs,
+    clusterState: ClusterState,
     campaign: TermCampaign,
     loads: KeyLoads,
     store: StoreHealth,
@@ -141,7 +141,7 @@
   /** Handles the start or end of a rate limit that a server reported to this VM. Makes
    * the next report due soon so that the other VMs learn of it. */
   rateLimitChanged(change: ServerRateLimitChange, now: number): void {
-    this.clusterState.rateLimitChanged(change, now);
+    this.clusterState.logRateLimitChange(change, now);
     this.followerLink.expedite();
   }
 
@@ -155,7 +155,7 @@
 
   /** Follows the announced term holder if its term is newer than the known one. */
   follow(holder: HolderAddress, now: number): void {
-    const isNew = this.clusterState.followHolder(holder);
+    const isNew = this.clusterState.acceptHolder(holder);
     if (!isNew) return;
     const { address, fitness } = holder;
     const isOwn = address === this.ownAddress;
@@ -176,7 +176,7 @@
       now,
     );
     const { evacuation: zones } = message;
-    if (zones !== undefined) this.clusterState.evacuationsTold(zones, now);
+    if (zones !== undefined) this.clusterState.applyPeerEvacuations(zones, now);
     if (message.quarantine !== undefined) {
       const { quarantine } = message;
       const answer = this.#quarantine.receive(address, quarantine, now);
@@ -203,7 +203,7 @@
         );
       case "assignments.changed":
         this.#applyHolderState(address, message, now);
-        return this.clusterState.changeAssignments(
+        return this.clusterState.applyAssignmentChanges(
           message.changes.map((each) =>
             expandAssignment(each, message.term, message.version)
           ),
@@ -258,7 +258,7 @@
     const { version } = this.clusterState.directory.position;
     this.#send(former.address, {
       kind: "term.taken",
-      ...this.clusterState.knowledge({ term, version }),
+      ...this.clusterState.senderState({ term, version }),
       formerTerm,
     });
   }
@@ -306,7 +306,7 @@
 
   /** State to include in a report. If one is due, it contains the quarantine update. */
   #reportState(now: number): SenderState {
-    const state = this.clusterState.knowledge();
+    const state = this.clusterState.senderState();
     const { holder } = this.followerLink;
     if (holder === null || !this.followerLink.isReportDue(now)) return state;
     return { ...state, quarantine: this.#quarantine.report(holder, now) };
@@ -336,7 +336,7 @@
     if (holder === null) return;
     this.#send(address, {
       kind: "holder.changed",
-      ...this.clusterState.knowledge(),
+      ...this.clusterState.senderState(),
       quarantine: update,
       holder,
     });
@@ -365,7 +365,7 @@
     // The store may have recovered without this VM noticing. Servers whose entries
     // expired during the outage get time to register again.
     if (this.store.isLost && changes.removed.length > 0) fleet.recovered(now);
-    this.clusterState.changeServers(
+    this.clusterState.applyServerChanges(
       fleet.apply(changes.entries, changes.removed, now, changes.unreadable),
       now,
     );
@@ -394,7 +394,7 @@
     const storeContactAt = answersTo - (storeSilence ?? Infinity);
     this.followerLink.reportAnswered(answersTo, storeContactAt);
     this.#quarantine.reportAnswered(address, answersTo);
-    if (!this.store.vouched(storeContactAt, now)) return;
+    if (!this.store.confirmedByPeer(storeContactAt, now)) return;
     this.clusterState.storeRegained(now);
   }
 
@@ -407,7 +407,7 @@
     if (address !== this.followerLink.holder) return;
     this.clusterState.keyLimits.replace(limits, now);
     this.clusterState.fleet.applyPeerLoads(loads, now);
-    this.clusterState.hearRates(rates ?? [], now);
+    this.clusterState.applyPeerRates(rates ?? [], now);
     this.tokenExchange.holderAnswered(rates !== undefined);
   }
 
@@ -432,7 +432,7 @@
     if (holder?.address !== this.ownAddress || this.campaign.isRetired) return;
     this.#send(address, {
       kind: "holder.changed",
-      ...this.clusterState.knowledge(),
+      ...this.clusterState.senderState(),
       holder: { ...holder, fitness: this.campaign.fittest(now) },
     });
   }
@@ -451,10 +451,10 @@
   ): void {
     const exposures = this.campaign.yieldTo(term, formerTerm, now);
     if (exposures === null) return;
-    this.clusterState.note("term.yielded", { term: formerTerm, toTerm: term });
+    this.clusterState.logDecision("term.yielded", { term: formerTerm, toTerm: term });
     this.#send(address, {
       kind: "term.yielded",
-      ...this.clusterState.knowledge(),
+      ...this.clusterState.senderState(),
       toTerm: term,
       exposures: [...exposures],
     });
--- a/src/core/exchange/permit_exchange.ts
+++ b/src/core/exchange/permit_exchange.ts
@@ -7,7 +7,7 @@
  *
  * @module
  */
-import type { Beliefs, Emit } from "../beliefs.ts";
+import type { ClusterState, Emit } from "../beliefs.ts";
 import type { MessageOf } from "../peers/index.ts";
 import {
   MAXIMUM_PERMIT,
@@ -28,7 +28,7 @@
   readonly #issuer = PermitIssuer.create();
 
   private constructor(
-    private readonly clusterState: Beliefs,
+    private readonly clusterState: ClusterState,
     private readonly emit: Emit,
     private readonly ownAddress: string,
   ) {
@@ -41,7 +41,7 @@
 
   /** Creates the exchange of the VM at `ownAddress`. */
   static create(
-    clusterState: Beliefs,
+    clusterState: ClusterState,
     emit: Emit,
     ownAddress: string,
   ): PermitExchange {
@@ -66,7 +66,7 @@
           address,
           message: {
             kind: "permit.told",
-            ...this.clusterState.knowledge(),
+            ...this.clusterState.senderState(),
             request,
             ...answer,
           },
@@ -97,7 +97,7 @@
       address,
       message: {
         kind: "permit.asked",
-        ...this.clusterState.knowledge(),
+        ...this.clusterState.senderState(),
         request,
         duration,
       },
@@ -116,7 +116,7 @@
       address,
       message: {
         kind: "permit.returned",
-        ...this.clusterState.knowledge(),
+        ...this.clusterState.senderState(),
         request,
         hasEnded,
       },
--- a/src/core/exchange/permit_exchange_test.ts
+++ b/src/core/exchange/permit_exchange_test.ts
@@ -3,7 +3,7 @@
   deliver,
   messageCollector,
 } from "../../../test/support/peer_messages.ts";
-import { Beliefs } from "../beliefs.ts";
+import { ClusterState } from "../beliefs.ts";
 import type { PeerSend } from "../peers/index.ts";
 import { MAXIMUM_PERMIT } from "../quarantine/index.ts";
 import { PermitExchange, type PermitMessage } from "./permit_exchange.ts";
@@ -23,10 +23,10 @@
   return addresses.map((address) => {
     const sent: PeerSend[] = [];
     const emit = messageCollector(sent);
-    const clusterState = Beliefs.create(emit);
+    const clusterState = ClusterState.create(emit);
     const exchange = PermitExchange.create(clusterState, emit, address);
     const holderAddress = { term: 1, vm: holder, address: holder, fitness: 1 };
-    clusterState.followHolder(holderAddress);
+    clusterState.acceptHolder(holderAddress);
     exchange.follow(holder, 0);
     return { address, exchange, sent };
   });
@@ -66,7 +66,7 @@
 });
 
 test("permit exchange: copies are denied without a holder or without its answer", (t) => {
-  const clusterState = Beliefs.create(() => {});
+  const clusterState = ClusterState.create(() => {});
   const alone = PermitExchange.create(clusterState, () => {}, "a");
   t.is(alone.permits.check(REQUEST, "1", 800, ISSUING_FROM).kind, "denied");
   const [a] = createVms("gone", ["a"]);
--- a/src/core/exchange/state_exchange.ts
+++ b/src/core/exchange/state_exchange.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import type { Beliefs, Emit } from "../beliefs.ts";
+import type { ClusterState, Emit } from "../beliefs.ts";
 import {
   type HolderAddress,
   type MessageOf,
@@ -18,7 +18,7 @@
   readonly #request: StateRequest;
 
   private constructor(
-    private readonly clusterState: Beliefs,
+    private readonly clusterState: ClusterState,
     private readonly store: StoreHealth,
     private readonly emit: Emit,
     seeds: readonly string[],
@@ -29,7 +29,7 @@
   /** Creates an exchange that sends requests to the term holder and, until a
    * configuration is known, to the VMs at `seeds`. */
   static create(
-    clusterState: Beliefs,
+    clusterState: ClusterState,
     store: StoreHealth,
     emit: Emit,
     seeds: readonly string[],
@@ -45,7 +45,7 @@
   ): void {
     const requests = this.#request.advance(
       now,
-      this.clusterState.knowledge(),
+      this.clusterState.senderState(),
       quarantineUpdate,
       holder,
       !this.clusterState.catalog.isKnown,
@@ -71,7 +71,7 @@
       address,
       message: {
         kind: "state.told",
-        ...this.clusterState.knowledge(),
+        ...this.clusterState.senderState(),
         state: {
           ...(hasConfiguration ? {} : { configuration }),
           servers: fleet.all().map((each) => each.entry),
@@ -93,7 +93,7 @@
     if (!this.store.isLost && clusterState.catalog.isKnown) return null;
     const { configuration, servers, assignments, holder } = state;
     if (configuration !== undefined) clusterState.configure(configuration);
-    clusterState.changeServers(clusterState.fleet.applyPeerEntries(servers, now), now);
+    clusterState.applyServerChanges(clusterState.fleet.applyPeerEntries(servers, now), now);
     clusterState.assign(assignments);
     return holder;
   }
--- a/src/core/exchange/term_publication.ts
+++ b/src/core/exchange/term_publication.ts
@@ -8,7 +8,7 @@
  *
  * @module
  */
-import type { Beliefs, Emit } from "../beliefs.ts";
+import type { ClusterState, Emit } from "../beliefs.ts";
 import { OverloadMonitor } from "./crowding_watch.ts";
 import type { ServerSamples } from "../fleet/index.ts";
 import type { KeyLoads, TermCampaign, TermHolder } from "../keyspace/index.ts";
@@ -59,7 +59,7 @@
   readonly #deferredReports = new Map<string, FollowerReport>();
 
   private constructor(
-    private readonly clusterState: Beliefs,
+    private readonly clusterState: ClusterState,
     private readonly campaign: TermCampaign,
     private readonly loads: KeyLoads,
     private readonly store: StoreHealth,
@@ -70,7 +70,7 @@
 
   /** Creates a publisher that has published nothing. */
   static create(
-    clusterState: Beliefs,
+    clusterState: ClusterState,
     campaign: TermCampaign,
     loads: KeyLoads,
     store: StoreHealth,
@@ -88,7 +88,7 @@
    * VM, if it was the holder. They would otherwise learn of it only after their timeout
    * for messages from this VM. */
   announceSuccessor(holder: HolderAddress): PeerSend[] {
-    const senderState = this.clusterState.knowledge();
+    const senderState = this.clusterState.senderState();
     return this.#link.announceSuccessor(senderState, holder);
   }
 
@@ -112,7 +112,7 @@
       for (const key of keys) this.loads.of(service).record(key, now);
     }
     this.#recordLatencies(report, now);
-    this.clusterState.hearRates(report.rates ?? [], now);
+    this.clusterState.applyPeerRates(report.rates ?? [], now);
     this.campaign.observeFitness(report.fitness, now);
     this.#link.reportReceived(address, report.isTold ?? false, now);
     const registryChanges = this.#registryChanges(report, now);
@@ -158,7 +158,7 @@
     const { sentAt } = report;
     const pacing = this.#configurationPacing;
     if (!pacing.maySend(address, version, sentAt, now)) return;
-    const senderState = this.clusterState.knowledge(this.#published);
+    const senderState = this.clusterState.senderState(this.#published);
     this.emit(
       this.#link.sendConfiguration(address, senderState, configuration),
     );
@@ -249,7 +249,7 @@
     ) {
       return;
     }
-    const senderState = this.clusterState.knowledge(this.#published);
+    const senderState = this.clusterState.senderState(this.#published);
     this.emit(...this.#link.publishRegistry(senderState, changes));
   }
 
@@ -267,7 +267,7 @@
 
   #holderState(now: number): HolderState {
     return {
-      ...this.clusterState.knowledge(this.#published),
+      ...this.clusterState.senderState(this.#published),
       vms: this.vmCount(now),
       fittest: this.campaign.fittest(now),
       storeSilence: Math.max(0, this.store.silence(now)),
--- a/src/core/exchange/term_publication_test.ts
+++ b/src/core/exchange/term_publication_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import { backendServer } from "../../../test/support/backend_server.ts";
 import { emptyConfiguration } from "../../../test/support/empty_configuration.ts";
-import { Beliefs } from "../beliefs.ts";
+import { ClusterState } from "../beliefs.ts";
 import type { EntryEffect } from "../entry_effect.ts";
 import type { BackendServer } from "../fleet/index.ts";
 import {
@@ -17,7 +17,7 @@
 /** Creates the publisher of a term holder with 40 servers. */
 function createPublisher() {
   const effects: EntryEffect[] = [];
-  const clusterState = Beliefs.create((...some) => effects.push(...some));
+  const clusterState = ClusterState.create((...some) => effects.push(...some));
   const loads = KeyLoads.create();
   const timing = leaseTimingSchema.parse({});
   const { fleet } = clusterState;
--- a/src/core/exchange/token_exchange.ts
+++ b/src/core/exchange/token_exchange.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { Beliefs, Emit } from "../beliefs.ts";
+import type { ClusterState, Emit } from "../beliefs.ts";
 import type { TrackedServer } from "../fleet/index.ts";
 import type { MessageOf } from "../peers/index.ts";
 import { RateTokens, type TokenAnswer, TokenBuckets } from "../rates/index.ts";
@@ -22,7 +22,7 @@
   #hasTokenSupport = false;
 
   private constructor(
-    private readonly clusterState: Beliefs,
+    private readonly clusterState: ClusterState,
     private readonly emit: Emit,
     private readonly ownAddress: string,
     vmCount: () => number | null,
@@ -40,7 +40,7 @@
 
   /** Creates the exchange of the VM at `ownAddress`. */
   static create(
-    clusterState: Beliefs,
+    clusterState: ClusterState,
     emit: Emit,
     ownAddress: string,
     vmCount: () => number | null,
@@ -76,7 +76,7 @@
       address,
       message: {
         kind: "token.told",
-        ...this.clusterState.knowledge(),
+        ...this.clusterState.senderState(),
         server,
         ...answer,
       },
@@ -102,7 +102,7 @@
       address,
       message: {
         kind: "token.asked",
-        ...this.clusterState.knowledge(),
+        ...this.clusterState.senderState(),
         server,
         requestsPerSecond,
         isUrgent,
--- a/src/core/exchange/token_exchange_test.ts
+++ b/src/core/exchange/token_exchange_test.ts
@@ -4,7 +4,7 @@
   deliver,
   messageCollector,
 } from "../../../test/support/peer_messages.ts";
-import { Beliefs } from "../beliefs.ts";
+import { ClusterState } from "../beliefs.ts";
 import type { PeerSend } from "../peers/index.ts";
 import { TokenExchange } from "./token_exchange.ts";
 
@@ -19,7 +19,7 @@
   return addresses.map((address) => {
     const sent: PeerSend[] = [];
     const emit = messageCollector(sent);
-    const clusterState = Beliefs.create(emit);
+    const clusterState = ClusterState.create(emit);
     clusterState.fleet.apply([backendServer("s")], [], 0);
     const server = clusterState.fleet.get("s")!;
     server.rateLimit.answered(1_000 / TOKEN_INTERVAL, 0, 0);
@@ -30,7 +30,7 @@
       () => 3,
       () => 0.5,
     );
-    clusterState.followHolder({ term: 1, vm: "h", address: "h", fitness: 1 });
+    clusterState.acceptHolder({ term: 1, vm: "h", address: "h", fitness: 1 });
     exchange.follow("h", 0);
     exchange.holderAnswered(true);
     const check = (now: number) =>
--- a/src/core/holder_change_test.ts
+++ b/src/core/holder_change_test.ts
@@ -10,7 +10,7 @@
 import { emptyConfiguration } from "../../test/support/empty_configuration.ts";
 import { createSteppedEntry } from "../../test/support/stepped_entry.ts";
 import type { EntryEffect } from "./entry_effect.ts";
-import type { Occurrence } from "./entry_event.ts";
+import type { UntimedEvent } from "./entry_event.ts";
 
 const HOLDER = "holder:1";
 /** Time over which the first reports to a new holder are spread, in milliseconds. */
@@ -85,7 +85,7 @@
   const { step } = createFollower(195, 1);
   let joinedAt = Infinity;
   /** Passes an event to the VM and answers its membership calls. */
-  const deliver = (now: number, event: Occurrence) => {
+  const deliver = (now: number, event: UntimedEvent) => {
     for (const effect of step(now, event)) {
       if (effect.kind !== "group.join") continue;
       const { group } = effect;
--- a/src/core/store_health.ts
+++ b/src/core/store_health.ts
@@ -60,7 +60,7 @@
   /** Records that another VM, which sends this one the store's updates, reached the
    * store at `at`: this VM is up to date even if its own calls are not answered. Returns
    * whether the store was lost until now. */
-  vouched(at: number, now: number): boolean {
+  confirmedByPeer(at: number, now: number): boolean {
     this.#answeredAt = Math.max(this.#answeredAt, at);
     if (!this.#isLost || now - at > LOST_AFTER) return false;
     this.#isLost = false;
--- a/src/core/store_health_test.ts
+++ b/src/core/store_health_test.ts
@@ -16,9 +16,9 @@
 
 test("store health: another VM's contact with the store ends a loss unless it is too old", (t) => {
   const health = StoreHealth.create();
-  t.false(health.vouched(0, 1_600));
+  t.false(health.confirmedByPeer(0, 1_600));
   t.true(health.isLost);
-  t.true(health.vouched(1_000, 1_600));
+  t.true(health.confirmedByPeer(1_000, 1_600));
   t.false(health.isLost);
   t.is(health.silence(2_000), 1_000);
   t.true(health.advance(2_600));
--- a/src/core/store_update_follower_test.ts
+++ b/src/core/store_update_follower_test.ts
@@ -8,7 +8,7 @@
 import { emptyConfiguration } from "../../test/support/empty_configuration.ts";
 import { createSteppedEntry } from "../../test/support/stepped_entry.ts";
 import type { EntryEffect } from "./entry_effect.ts";
-import type { Occurrence } from "./entry_event.ts";
+import type { UntimedEvent } from "./entry_event.ts";
 import type { PeerMessage } from "./peers/index.ts";
 
 const HOLDER = "holder:1";
@@ -43,7 +43,7 @@
   /** Passes an event to the VM; membership calls succeed if the store is reachable. */
   const deliver = (
     now: number,
-    event: Occurrence,
+    event: UntimedEvent,
     isStoreReachable: boolean,
   ) => {
     for (const effect of step(now, event)) {
--- a/src/runtime/backend_pool_test.ts
+++ b/src/runtime/backend_pool_test.ts
@@ -3,7 +3,7 @@
 import { setTimeout as delay } from "node:timers/promises";
 import test, { type ExecutionContext } from "ava";
 import { PlatformHeaders } from "../../platform/index.ts";
-import type { Occurrence } from "../core/entry_event.ts";
+import type { UntimedEvent } from "../core/entry_event.ts";
 import { BackendPool, type OutgoingRequest } from "./backend_pool.ts";
 
 /** Maximum duration of an attempt, in milliseconds. */
@@ -35,9 +35,9 @@
 
 /** Creates a pool whose attempts can be awaited one after the other. */
 function createPool(t: ExecutionContext, address: string) {
-  const outcomes: Occurrence[] = [];
-  const waiters: ((outcome: Occurrence) => void)[] = [];
-  const push = (occurrence: Occurrence) => {
+  const outcomes: UntimedEvent[] = [];
+  const waiters: ((outcome: UntimedEvent) => void)[] = [];
+  const push = (occurrence: UntimedEvent) => {
     const next = waiters.shift();
     if (next === undefined) outcomes.push(occurrence);
     else next(occurrence);
@@ -45,7 +45,7 @@
   const pool = BackendPool.create(PlatformHeaders.create(), { push });
   t.teardown(() => pool.close());
   let count = 0;
-  const send = (id: string, body = ""): Promise<Occurrence> => {
+  const send = (id: string, body = ""): Promise<UntimedEvent> => {
     count += 1;
     const outgoing: OutgoingRequest = {
       id,
@@ -82,7 +82,7 @@
   ].join("\r\n");
 }
 
-function outcomeKind(occurrence: Occurrence): string {
+function outcomeKind(occurrence: UntimedEvent): string {
   if (occurrence.kind !== "attempt.ended") return occurrence.kind;
   const { outcome } = occurrence;
   if (outcome.kind === "failed") {
--- a/src/runtime/control_store.ts
+++ b/src/runtime/control_store.ts
@@ -6,7 +6,7 @@
  * @module
  */
 import type { Configuration } from "../core/catalog/index.ts";
-import type { Occurrence } from "../core/entry_event.ts";
+import type { UntimedEvent } from "../core/entry_event.ts";
 import type { Assignment, ElectionGroup, TermRecords } from "../core/keyspace/index.ts";
 import type { CrashRecord } from "../core/quarantine/index.ts";
 import type { RegistryRead } from "../core/registry/index.ts";
@@ -32,7 +32,7 @@
 
 /** Result of a read of a feed. */
 export interface StoreRead extends DecodedRead {
-  occurrences: Occurrence[];
+  occurrences: UntimedEvent[];
   /** Position from which to continue. */
   next: number;
 }
--- a/src/runtime/entry_loop.ts
+++ b/src/runtime/entry_loop.ts
@@ -8,7 +8,7 @@
 import * as most from "most";
 import type { Entry } from "../core/entry.ts";
 import type { EntryEffect } from "../core/entry_effect.ts";
-import type { EntryEvent, Occurrence } from "../core/entry_event.ts";
+import type { EntryEvent, UntimedEvent } from "../core/entry_event.ts";
 import { monotonicNow, onClockJump } from "./monotonic_clock.ts";
 
 /** Name of the event that `most` subscribes to. */
@@ -39,7 +39,7 @@
 
 /** Receives events for the loop. */
 export interface EventSink {
-  push(event: Occurrence): void;
+  push(event: UntimedEvent): void;
 }
 
 /** Executes effects; never throws. */
@@ -50,7 +50,7 @@
 /** See the module's comment. */
 export class EntryLoop implements EventSink {
   readonly #eventTarget = new LoopEventTarget();
-  readonly #queue: Occurrence[] = [];
+  readonly #queue: UntimedEvent[] = [];
   #isRunning = false;
   #timer: NodeJS.Timeout | null = null;
   #timerAt = Infinity;
@@ -82,7 +82,7 @@
    * Processes an event. One that is pushed while another is processed is
    * queued.
    */
-  push(event: Occurrence): void {
+  push(event: UntimedEvent): void {
     this.#queue.push(event);
     if (this.#isRunning || this.#isStopped) return;
     this.#isRunning = true;
--- a/src/runtime/entry_process.ts
+++ b/src/runtime/entry_process.ts
@@ -288,14 +288,14 @@
   );
   const { user, system } = process.cpuUsage();
   return {
-    configuration_version: entry.beliefs.catalog.version,
+    configuration_version: entry.clusterState.catalog.version,
     requests_pending: entry.dispatcher.pending,
     caller_connections: callers.connections,
     caller_answers_unsent: callers.unsent,
     caller_requests_not_taken_total: callers.notTaken,
     caller_requests_late_total: callers.late,
     vms: entry.vms ?? 0,
-    requests_quarantined: entry.beliefs.quarantine.holdCount,
+    requests_quarantined: entry.clusterState.quarantine.holdCount,
     is_term_holder: entry.campaign.holder === null ? 0 : 1,
     log_lines_dropped: logger.dropped,
     processor_seconds: (user + system) / 1e6,
--- a/src/runtime/peer_network_test.ts
+++ b/src/runtime/peer_network_test.ts
@@ -5,7 +5,7 @@
 import test, { type ExecutionContext } from "ava";
 import { loopbackAddress } from "../../test/support/loopback_address.ts";
 import { largeConfiguration } from "../../test/support/large_configuration.ts";
-import type { Occurrence } from "../core/entry_event.ts";
+import type { UntimedEvent } from "../core/entry_event.ts";
 import type { PeerMessage } from "../core/peers/index.ts";
 import { Journal } from "../logging/index.ts";
 import { PeerNetwork } from "./peer_network.ts";
@@ -19,7 +19,7 @@
 
 /** Creates a network that records received messages. */
 function createNetwork(address: string) {
-  const received: Occurrence[] = [];
+  const received: UntimedEvent[] = [];
   const network = PeerNetwork.create(
     { vm: address, peerAddress: address },
     { push: (each) => void received.push(each) },
--- a/test/ownership/check_long.ts
+++ b/test/ownership/check_long.ts
@@ -7,7 +7,7 @@
 import { parseArgs } from "node:util";
 import fc from "fast-check";
 import { mixedFaultSchedules } from "./schedule.ts";
-import { World } from "./world.ts";
+import { Simulation } from "./world.ts";
 
 const { values } = parseArgs({
   options: {
@@ -21,7 +21,7 @@
 let grants = 0;
 let moves = 0;
 for (const options of fc.sample(mixedFaultSchedules, { numRuns, seed })) {
-  const report = World.play(options);
+  const report = Simulation.runToEnd(options);
   grants += report.grants;
   moves += report.moves;
   if (report.violations.length === 0) continue;
--- a/test/ownership/cold_servers_test.ts
+++ b/test/ownership/cold_servers_test.ts
@@ -6,7 +6,7 @@
  */
 import test from "ava";
 import type { LoadOptions } from "./request_load.ts";
-import { type Fault, World } from "./world.ts";
+import { type Fault, Simulation } from "./world.ts";
 
 const FROM = 12_000;
 const UNTIL = 26_000;
@@ -68,7 +68,7 @@
     test(`cold servers: ${name}, ${kind}: no server is overloaded`, (t) => {
       for (const vms of [8, 61]) {
         for (const seed of [1, 2, 3]) {
-          const { load, violations } = World.play({
+          const { load, violations } = Simulation.runToEnd({
             vms,
             servers: 24,
             zones: 4,
--- a/test/ownership/configuration_test.ts
+++ b/test/ownership/configuration_test.ts
@@ -6,7 +6,7 @@
  */
 import test from "ava";
 import { uniformFloat64 } from "../../src/core/random.ts";
-import { type Fault, type SimulationOptions, World } from "./world.ts";
+import { type Fault, type SimulationOptions, Simulation } from "./world.ts";
 
 const VMS = 50;
 /** Number of VMs that may hold the term. */
@@ -39,7 +39,7 @@
 }
 
 function simulate(options: Partial<SimulationOptions>) {
-  return World.play({
+  return Simulation.runToEnd({
     vms: VMS,
     servers: 20,
     faults: [],
--- a/test/ownership/ending_request_test.ts
+++ b/test/ownership/ending_request_test.ts
@@ -14,7 +14,7 @@
   LoadOptions,
   RequestLoad,
 } from "./request_load.ts";
-import { type Fault, type SimulationReport, World } from "./world.ts";
+import { type Fault, type SimulationReport, Simulation } from "./world.ts";
 
 /** Number of servers that a request may crash before it is quarantined. */
 const ALLOWED_CRASHES = 3;
@@ -32,7 +32,7 @@
 const CRASHING_REQUEST: CrashingRequest = {
   from: FROM,
   until: UNTIL,
-  pause: 500,
+  interval: 500,
   key: 30_000,
   work: 60,
 };
@@ -47,7 +47,7 @@
   target: 800,
   timeout: 3_000,
   keyOf: (draw) => Math.floor(draw() * 65_536),
-  ending: CRASHING_REQUEST,
+  crashingRequest: CRASHING_REQUEST,
 };
 
 /** Options of a simulation with a crashing request. */
@@ -62,7 +62,7 @@
 function simulate(
   { vms, servers = 6, seed, load, faults = [] }: CrashSimulationOptions,
 ): SimulationReport {
-  return World.play({
+  return Simulation.runToEnd({
     vms,
     servers,
     faults,
@@ -76,10 +76,10 @@
 
 /** Counts the runs of the crashing request after the time that VMs may take to learn of
  * it. */
-function lateRuns({ serverEnds, load }: SimulationReport): number {
+function lateRuns({ serverCrashTimes: serverEnds, load }: SimulationReport): number {
   const last = serverEnds[ALLOWED_CRASHES - 1] ?? Infinity;
   const isLate = ({ at }: { at: number }) => at > last + LEARNING_TIME;
-  return load!.endingRuns.filter(isLate).length;
+  return load!.crashingRuns.filter(isLate).length;
 }
 
 /** Share of the other requests sent from `from` on that were served. */
@@ -116,7 +116,7 @@
 /** Counts the runs after the time that VMs may take to learn of the third run, also if
  * one server crashed with several of them. */
 function runsAfterThird({ load }: SimulationReport): number {
-  const { endingRuns } = load!;
+  const { crashingRuns: endingRuns } = load!;
   const third = endingRuns[ALLOWED_CRASHES - 1]?.at ?? Infinity;
   return endingRuns.filter(({ at }) => at > third + LEARNING_TIME).length;
 }
@@ -133,7 +133,7 @@
           vms,
           servers: 16,
           seed,
-          load: { ...load, ending: COPIES },
+          load: { ...load, crashingRequest: COPIES },
         });
         t.deepEqual(report.violations, []);
         const late = runsAfterThird(report);
@@ -205,7 +205,7 @@
 /** Number of servers, so high that some are left to crash: while the store is down, VMs
  * do not learn of servers that return. */
 const MANY_SERVERS = 24;
-const SLOW_REPEATS: CrashingRequest = { ...CRASHING_REQUEST, pause: 1_000 };
+const SLOW_REPEATS: CrashingRequest = { ...CRASHING_REQUEST, interval: 1_000 };
 
 for (const [name, faults] of FAULT_CASES) {
   test(`a request that crashes its servers: ${name}`, (t) => {
@@ -267,12 +267,12 @@
       load: { ...LONG_WORK, popularShare: 0.33 },
     }],
     ["in addition to one that crashes its servers", {
-      load: { popularShare: 0.2, ending: CRASHING_REQUEST },
+      load: { popularShare: 0.2, crashingRequest: CRASHING_REQUEST },
     }],
     ["in addition to one that crashes its servers, while other servers crash", {
       servers: 12,
       faults: serverCrashes(400, 12),
-      load: { ...LONG_WORK, ending: CRASHING_REQUEST },
+      load: { ...LONG_WORK, crashingRequest: CRASHING_REQUEST },
     }],
   ];
 
@@ -284,7 +284,7 @@
           ...options,
           vms: 11,
           seed,
-          load: { ending: undefined, ...load, isKeyed },
+          load: { crashingRequest: undefined, ...load, isKeyed },
         });
         const { quarantined, results } = report.load!;
         const harmless = quarantined.filter((each) => !each.isCrashing).length;
@@ -316,7 +316,7 @@
     load: {
       isKeyed,
       isIdempotent,
-      ending: { ...CRASHING_REQUEST, pause: interval },
+      crashingRequest: { ...CRASHING_REQUEST, interval: interval },
     },
   });
   const isDisturbed = (vm: number, at: number) =>
@@ -324,7 +324,7 @@
       fault.kind.startsWith("vm.") && fault.target % vms === vm &&
       fault.at <= at && at <= fault.at + fault.duration + CATCH_UP_TIME
     );
-  const { endingRuns, quarantined } = report.load!;
+  const { crashingRuns: endingRuns, quarantined } = report.load!;
   const firstRuns = new Map<string, number>();
   for (const { server, at } of endingRuns) {
     if (!firstRuns.has(server)) firstRuns.set(server, at);
--- a/test/ownership/overload_test.ts
+++ b/test/ownership/overload_test.ts
@@ -8,7 +8,7 @@
  */
 import test from "ava";
 import type { LoadCounts, LoadOptions } from "./request_load.ts";
-import { World } from "./world.ts";
+import { Simulation } from "./world.ts";
 
 const BUSY_KEY = 30_000;
 const BUSY_FROM = 12_000;
@@ -38,7 +38,7 @@
 }
 
 test("overload of one key: its requests are rejected at once and other keys are not affected", (t) => {
-  const { load, violations } = World.play({
+  const { load, violations } = Simulation.runToEnd({
     vms: 80,
     servers: 90,
     faults: [],
--- a/test/ownership/ownership_test.ts
+++ b/test/ownership/ownership_test.ts
@@ -8,7 +8,7 @@
   staleHolderSchedules,
 } from "./schedule.ts";
 import type { LoadOptions } from "./request_load.ts";
-import { type SimulationOptions, World } from "./world.ts";
+import { type SimulationOptions, Simulation } from "./world.ts";
 
 const SEED = 7;
 
@@ -36,7 +36,7 @@
   mutation: Partial<SimulationOptions>,
 ): string | null {
   for (const options of fc.sample(arbitrary, { numRuns: runs, seed: SEED })) {
-    const { violations } = World.play({ ...options, ...mutation });
+    const { violations } = Simulation.runToEnd({ ...options, ...mutation });
     if (violations.length > 0) return violations[0];
   }
   return null;
@@ -45,7 +45,7 @@
 test("a key has at most one server during any faults", (t) => {
   fc.assert(
     fc.property(mixedFaultSchedules, (options) => {
-      const { violations } = World.play(options);
+      const { violations } = Simulation.runToEnd(options);
       if (violations.length > 0) throw new Error(violations[0]);
     }),
     { numRuns: 150, seed: SEED },
@@ -54,7 +54,7 @@
 });
 
 test("without faults every key is held once the servers are known", (t) => {
-  const report = World.play({
+  const report = Simulation.runToEnd({
     vms: 3,
     servers: 4,
     faults: [],
@@ -95,8 +95,8 @@
       { kind: "vm.cut_from_peers", at: 5_000, duration: 3_000, target: 0 },
     ],
   };
-  const connected = World.play(options);
-  const isolated = World.play(cut);
+  const connected = Simulation.runToEnd(options);
+  const isolated = Simulation.runToEnd(cut);
   t.deepEqual([...connected.violations, ...isolated.violations], []);
   t.true(
     connected.heldShare > isolated.heldShare + 0.05,
@@ -114,7 +114,7 @@
 test("a server keeps its longest lease although a newer grant is shorter", (t) => {
   // A server has a long lease from a store outage. The next holder grants the same keys
   // for a shorter time and then loses the connection to the server.
-  const { violations } = World.play({
+  const { violations } = Simulation.runToEnd({
     vms: 1,
     servers: 3,
     faults: [
@@ -134,7 +134,7 @@
 });
 
 test("the term moves to the fittest VM once and stays there", (t) => {
-  const report = World.play({
+  const report = Simulation.runToEnd({
     vms: 4,
     servers: 4,
     faults: [],
@@ -149,7 +149,7 @@
 });
 
 test("a VM of low fitness holds the term only while no fitter one is running", (t) => {
-  const report = World.play({
+  const report = Simulation.runToEnd({
     vms: 3,
     servers: 4,
     faults: [
@@ -181,7 +181,7 @@
     seed: 5,
     fitness: Array.from({ length: 24 }, (_, i) => i < fit ? 6 : 0.35),
   };
-  const report = World.play({
+  const report = Simulation.runToEnd({
     ...calm,
     faults: [
       { kind: "store.down", at: 8_000, duration: 7_000, target: 0 },
@@ -190,7 +190,7 @@
   });
   t.deepEqual(report.violations, []);
   // Holders from the start of the simulation do not count.
-  const before = World.play(calm).holders.length;
+  const before = Simulation.runToEnd(calm).holders.length;
   const unfit = report.holders.slice(before).filter((each) =>
     Number(each.split("-")[1]) >= fit
   );
@@ -198,7 +198,7 @@
 });
 
 test("a fit VM that is cut off from the store does not prevent others from taking the term", (t) => {
-  const report = World.play({
+  const report = Simulation.runToEnd({
     vms: 4,
     servers: 4,
     faults: [
@@ -220,7 +220,7 @@
 // are withheld, created again in the next step and withheld again, as long as it is
 // holder.
 test("a slow VM that takes over the term grants all keys", (t) => {
-  const report = World.play({
+  const report = Simulation.runToEnd({
     vms: 2,
     servers: 160,
     faults: [],
@@ -243,7 +243,7 @@
   ] as const
 ) {
   test(`a holder without connections ${name} grants all keys`, (t) => {
-    const report = World.play({
+    const report = Simulation.runToEnd({
       vms: 74,
       servers: 160,
       faults: targets.map((target) => (
@@ -295,8 +295,8 @@
     duration: 20_000,
     seed: 6,
   };
-  const named = World.play(options);
-  const unnamed = World.play({ ...options, isServerUnnamed: true });
+  const named = Simulation.runToEnd(options);
+  const unnamed = Simulation.runToEnd({ ...options, isServerUnnamed: true });
   t.deepEqual([...named.violations, ...unnamed.violations], []);
   t.true(
     named.heldShare > unnamed.heldShare + 0.05,
@@ -337,7 +337,7 @@
 // first server has ended: its keys would move to others while its new process already
 // holds some.
 test("a server that restarts after another one had its address keeps its keys", (t) => {
-  const { violations } = World.play({
+  const { violations } = Simulation.runToEnd({
     vms: 1,
     servers: 2,
     faults: [
--- a/test/ownership/rate_limit_test.ts
+++ b/test/ownership/rate_limit_test.ts
@@ -8,7 +8,7 @@
   LoadOptions,
   RequestLoad,
 } from "./request_load.ts";
-import { type Fault, World } from "./world.ts";
+import { type Fault, Simulation } from "./world.ts";
 
 const FROM = 8_000;
 const LIMITED_UNTIL = 22_000;
@@ -97,7 +97,7 @@
       servers: limitedServerCount(isKeyed),
     },
   };
-  return World.play({
+  return Simulation.runToEnd({
     vms,
     servers: SERVERS,
     faults,
--- a/test/ownership/request_load.ts
+++ b/test/ownership/request_load.ts
@@ -59,7 +59,7 @@
    * load at once. */
   warmUp?: ColdStart;
   /** A request that crashes each server that starts to run it; none if left out. */
-  ending?: CrashingRequest;
+  crashingRequest?: CrashingRequest;
   /** Rate limit that servers report; none if left out. */
   rateLimit?: ReportedRateLimit;
 }
@@ -98,7 +98,7 @@
   from: number;
   until: number;
   /** Time between two repeats, whatever the result of the first one. */
-  pause: number;
+  interval: number;
   key: number;
   /** Time for which a server runs it before it crashes. */
   work: number;
@@ -218,7 +218,7 @@
   /** When a VM first forwarded an answer with a limit, by VM and server. */
   readonly #limitSentAt = new Map<string, number>();
   /** When the crashing request was started, by which server, and for which VM. */
-  readonly endingRuns: { at: number; server: string; vm: number }[] = [];
+  readonly crashingRuns: { at: number; server: string; vm: number }[] = [];
 
   private constructor(
     private readonly options: LoadOptions,
@@ -236,7 +236,7 @@
   ): RequestLoad {
     const load = new RequestLoad(options, time, draw, system);
     time.after(options.from, () => load.#sendNext());
-    const { ending } = options;
+    const { crashingRequest: ending } = options;
     if (ending !== undefined) {
       time.after(ending.from, () => load.#sendCrashing(ending));
     }
@@ -367,7 +367,7 @@
         isCrashing: true,
       });
     }
-    this.time.after(ending.pause, () => this.#sendCrashing(ending));
+    this.time.after(ending.interval, () => this.#sendCrashing(ending));
   }
 
   #submit(caller: Caller): void {
@@ -493,8 +493,8 @@
   }
 
   #runCrashing({ server, address, vm }: ServerRequest): void {
-    this.endingRuns.push({ at: this.time.now, server, vm });
-    this.time.after(this.options.ending!.work, () => {
+    this.crashingRuns.push({ at: this.time.now, server, vm });
+    this.time.after(this.options.crashingRequest!.work, () => {
       if (this.system.isListening(server, address)) this.system.crash(address);
     });
   }
--- a/test/ownership/suspension_test.ts
+++ b/test/ownership/suspension_test.ts
@@ -8,7 +8,7 @@
 import test from "ava";
 import fc from "fast-check";
 import { clockStepSchedules, suspensionSchedules } from "./schedule.ts";
-import { type Fault, type SimulationOptions, World } from "./world.ts";
+import { type Fault, type SimulationOptions, Simulation } from "./world.ts";
 
 const SEED = 7;
 const RUNS = 150;
@@ -18,7 +18,7 @@
     numRuns: RUNS,
     seed: SEED,
   })
-    .flatMap((options) => World.play(options).violations.slice(0, 1));
+    .flatMap((options) => Simulation.runToEnd(options).violations.slice(0, 1));
   t.deepEqual(violations, [], `${violations.length} of ${RUNS} schedules`);
 });
 
@@ -32,7 +32,7 @@
 
 test("suspension: a holder that resumes has no authority", (t) => {
   for (let seed = 1; seed <= 20; seed++) {
-    const report = World.play({
+    const report = Simulation.runToEnd({
       vms: 3,
       servers: 4,
       faults: HOLDER_SUSPENSIONS,
@@ -45,7 +45,7 @@
 });
 
 test("suspension: a request is not forwarded with more time than its caller has left", (t) => {
-  const report = World.play({
+  const report = Simulation.runToEnd({
     vms: 3,
     servers: 2,
     faults: [0, 1, 2].map((target) => ({
@@ -81,7 +81,7 @@
   })
     .flatMap((options) => {
       const uncertain = { ...options, isUptimeForeign: true };
-      return World.play(uncertain).violations.slice(0, 1);
+      return Simulation.runToEnd(uncertain).violations.slice(0, 1);
     });
   t.deepEqual(violations, []);
 });
@@ -95,7 +95,7 @@
     { kind: "vm.clock_step", at: 11_000, duration: 1_000, target: 1 },
   ];
   return Array.from({ length: 20 }, (_, i) => 1 + i).flatMap((seed) => {
-    const { violations } = World.play({
+    const { violations } = Simulation.runToEnd({
       vms: 2,
       fitness: [1, 5],
       servers: 3,
--- a/test/ownership/world.ts
+++ b/test/ownership/world.ts
@@ -11,7 +11,7 @@
 } from "../../src/runtime/elapsed_clock.ts";
 import { Entry } from "../../src/core/entry.ts";
 import type { EntryEffect } from "../../src/core/entry_effect.ts";
-import type { Occurrence } from "../../src/core/entry_event.ts";
+import type { UntimedEvent } from "../../src/core/entry_event.ts";
 import type { BackendServer } from "../../src/core/fleet/index.ts";
 import {
   type GrantOrder,
@@ -192,11 +192,11 @@
    * allowed to open one or were too old to do so. */
   withheldOrders: number;
   /** When each VM first quarantined a request, by VM. */
-  heldBackAt: Map<string, number>;
+  quarantinedAt: Map<string, number>;
   /** Messages between VMs that contained crash records. */
   quarantineMessages: PeerMessage[];
   /** Times at which servers were lost. */
-  serverEnds: number[];
+  serverCrashTimes: number[];
   /** Time since the evacuation of the zone, for each request that was sent to an
    * evacuated zone. */
   evacuatedZoneSends: number[];
@@ -299,7 +299,7 @@
 }
 
 /** See the module's comment. */
-export class World {
+export class Simulation {
   readonly #time = Timeline.create();
   readonly #store: ModelStore;
   readonly #vms: Vm[] = [];
@@ -322,9 +322,9 @@
     storeCalls: new Map(),
     load: null,
     messages: new Map(),
-    heldBackAt: new Map(),
+    quarantinedAt: new Map(),
     quarantineMessages: [],
-    serverEnds: [],
+    serverCrashTimes: [],
     evacuatedZoneSends: [],
     evacuationLag: 0,
     staleOrders: 0,
@@ -398,8 +398,8 @@
   }
 
   /** Runs a simulation to its end. */
-  static play(options: SimulationOptions): SimulationReport {
-    const simulation = new World(options);
+  static runToEnd(options: SimulationOptions): SimulationReport {
+    const simulation = new Simulation(options);
     simulation.#sampleKey();
     simulation.#time.runUntil(options.duration);
     simulation.#report.heldShare = simulation.#heldCount /
@@ -471,7 +471,7 @@
     if (position !== this.#operatorPosition) return;
     const isKnown = this.#vms.every((vm) =>
       !vm.isUp || vm.frozenUntil > this.#time.now ||
-      vm.entry.beliefs.fleet.evacuations.position >= position
+      vm.entry.clusterState.fleet.evacuations.position >= position
     );
     const lag = this.#time.now - since;
     this.#report.evacuationLag = Math.max(this.#report.evacuationLag, lag);
@@ -520,7 +520,7 @@
       if (isDisturbed) vm.stableSince = now;
       if (now - vm.stableSince < STABILITY_TIME) continue;
       // Version n has index n - 1, so this is the first version that the VM lacks.
-      const lacking = this.#publications[vm.entry.beliefs.catalog.version];
+      const lacking = this.#publications[vm.entry.clusterState.catalog.version];
       if (lacking === undefined) continue;
       const lag = now - lacking;
       this.#report.configurationLag = Math.max(
@@ -581,7 +581,7 @@
   #sampleKey(): void {
     const key = Math.floor(this.#draw() ** 2 * 65_536);
     const vm = this.#vms[Math.floor(this.#draw() * this.#vms.length)];
-    const range = vm.entry.beliefs.directory.find(SERVICE, key);
+    const range = vm.entry.clusterState.directory.find(SERVICE, key);
     this.#sampleCount += 1;
     const server = this.#servers.findLast(({ id }) => id === range?.server);
     const isHeld = server?.isUp &&
@@ -607,7 +607,7 @@
   }
 
   /** Passes an event to a VM; a frozen VM receives it once it runs again. */
-  #handle(vm: Vm, event: Occurrence): void {
+  #handle(vm: Vm, event: UntimedEvent): void {
     if (!vm.isUp) return;
     const { now } = this.#time;
     if (vm.frozenUntil > now) {
@@ -820,7 +820,7 @@
   }
 
   #recordQuarantine({ id }: Vm): void {
-    const { heldBackAt } = this.#report;
+    const { quarantinedAt: heldBackAt } = this.#report;
     if (!heldBackAt.has(id)) heldBackAt.set(id, this.#time.now);
   }
 
@@ -844,7 +844,7 @@
   #callStore<T>(
     vm: Vm,
     run: () => T,
-    answer: (value: T | null, sentAt: number) => Occurrence | null,
+    answer: (value: T | null, sentAt: number) => UntimedEvent | null,
   ): void {
     const sentAt = vm.clock.now();
     const isDone = this.#reachesStore(vm);
@@ -877,7 +877,7 @@
     if (vm.isFollowing) this.#readConfiguration(vm);
   }
 
-  #sendPeer(vm: Vm, address: string, event: Occurrence): void {
+  #sendPeer(vm: Vm, address: string, event: UntimedEvent): void {
     const peer = this.#vms.find((each) => each.address === address);
     const isCut = this.#isActive("vm.cut_from_peers", vm.index) ||
       this.#isActive("vm.cut_from_peers", peer?.index);
@@ -1177,7 +1177,7 @@
   #loseServer(server: ModelServer): void {
     if (!server.isUp) return;
     server.isUp = false;
-    this.#report.serverEnds.push(this.#time.now);
+    this.#report.serverCrashTimes.push(this.#time.now);
     this.#report.load?.serverLost(server.id);
     this.#time.after(ENTRY_LIFETIME, () => this.#deregister(server));
     this.#time.after(RETURN_TIME, () => {
--- a/test/support/caller_connection.ts
+++ b/test/support/caller_connection.ts
@@ -7,7 +7,7 @@
 import type { ExecutionContext } from "ava";
 import { PlatformHeaders } from "../../platform/index.ts";
 import type { CallerLimits } from "../../src/core/catalog/index.ts";
-import type { Occurrence } from "../../src/core/entry_event.ts";
+import type { UntimedEvent } from "../../src/core/entry_event.ts";
 import { CallerServer } from "../../src/runtime/caller_server.ts";
 import { LoopLag } from "../../src/runtime/loop_lag.ts";
 import { parseAddress } from "../../src/settings/index.ts";
@@ -18,7 +18,7 @@
   server: CallerServer;
   socket: Socket;
   /** Events that the server passed to its event loop. */
-  occurrences: Occurrence[];
+  occurrences: UntimedEvent[];
   /** Returns the text received on the connection so far. */
   read(): string;
   /** Opens another connection from `localAddress`. */
@@ -30,7 +30,7 @@
   t: ExecutionContext,
   limits: CallerLimits,
 ): Promise<CallerConnection> {
-  const occurrences: Occurrence[] = [];
+  const occurrences: UntimedEvent[] = [];
   const lag = LoopLag.create();
   const server = CallerServer.create(
     PlatformHeaders.create(),
--- a/test/support/stepped_entry.ts
+++ b/test/support/stepped_entry.ts
@@ -6,7 +6,7 @@
  */
 import { Entry } from "../../src/core/entry.ts";
 import type { EntryEffect } from "../../src/core/entry_effect.ts";
-import type { Occurrence } from "../../src/core/entry_event.ts";
+import type { UntimedEvent } from "../../src/core/entry_event.ts";
 import type { EntryOptions } from "../../src/core/entry_options.ts";
 import { leaseTimingSchema } from "../../src/core/keyspace/index.ts";
 
@@ -29,7 +29,7 @@
 export function createSteppedEntry(overrides: Partial<EntryOptions> = {}) {
   const entry = Entry.create({ ...OPTIONS, ...overrides });
   /** Processes an event at time `now`, in milliseconds, and returns the effects. */
-  const step = (now: number, event: Occurrence): EntryEffect[] =>
+  const step = (now: number, event: UntimedEvent): EntryEffect[] =>
     entry.step({ ...event, now });
   return { entry, step };
 }
