--- a/src/cli/demo_command.ts
+++ b/src/cli/demo_command.ts
@@ -120,5 +120,5 @@
 
 function callerHeaders(id: string, key: number): Record<string, string> {
   const fields = { id, timeout: CALLER_TIMEOUT, key };
-  return { host: DEMO_HOST, ...PlatformHeaders.create().forCaller(fields) };
+  return { host: DEMO_HOST, ...PlatformHeaders.create().callerHeaders(fields) };
 }
--- a/src/cli/serve_command.ts
+++ b/src/cli/serve_command.ts
@@ -73,8 +73,8 @@
 ): void {
   try {
     const current = readYamlFile(file, entrySettingsSchema).value;
-    entry.reloaded(JSON.stringify(current) !== JSON.stringify(settings));
+    entry.logReload(JSON.stringify(current) !== JSON.stringify(settings));
   } catch (error) {
-    entry.reloadFailed(errorText(error));
+    entry.logReloadFailure(errorText(error));
   }
 }
--- a/src/load/load_generator.ts
+++ b/src/load/load_generator.ts
@@ -107,7 +107,7 @@
   const { timeout } = plan;
   const headers = {
     host: plan.host,
-    ...plan.codec.forCaller({ id: requestId, timeout, key }),
+    ...plan.codec.callerHeaders({ id: requestId, timeout, key }),
   };
   const call: Call = {
     kind: "call",
--- a/src/runtime/backend_pool.ts
+++ b/src/runtime/backend_pool.ts
@@ -19,7 +19,7 @@
 import type { ServerProbe } from "../core/quarantine/index.ts";
 import { errorText } from "../errors/index.ts";
 import { parseAddress } from "../settings/address.ts";
-import type { AnswerFacts, HeaderCodec } from "./header_codec.ts";
+import type { ResponseMetadata, HeaderCodec } from "./header_codec.ts";
 import type { EventSink } from "./entry_loop.ts";
 import { limitConnectTime } from "./http_client.ts";
 
@@ -237,10 +237,10 @@
     for (let i = 0; i < outgoing.headers.length; i += 2) {
       const name = outgoing.headers[i].toLowerCase();
       if (HOP_BY_HOP.has(name) || name === "content-length") continue;
-      if (this.codec.isOwn(name)) continue;
+      if (this.codec.isInternal(name)) continue;
       headers.push(outgoing.headers[i], outgoing.headers[i + 1]);
     }
-    headers.push(...this.codec.forServer(start.server, start.remaining));
+    headers.push(...this.codec.serverHeaders(start.server, start.remaining));
     const isBodyExpected = outgoing.method !== "GET" &&
       outgoing.method !== "HEAD";
     if (outgoing.body.length > 0 || isBodyExpected) {
@@ -293,7 +293,7 @@
     if (status < MINIMUM_STATUS) {
       return this.#failAttempt(attempt, running, true, `status ${status}`);
     }
-    const metadata = this.codec.readAnswer(
+    const metadata = this.codec.readResponse(
       status,
       response.headers,
       outgoing.id,
@@ -333,7 +333,7 @@
     attempt: number,
     running: RunningAttempt,
     response: IncomingMessage,
-    metadata: AnswerFacts,
+    metadata: ResponseMetadata,
     body: Buffer,
   ): void {
     if (this.#attempts.get(attempt) !== running) return;
--- a/src/runtime/caller_server.ts
+++ b/src/runtime/caller_server.ts
@@ -74,7 +74,7 @@
 
 /** Observes every response, for metrics. */
 export interface ResponseObserver {
-  answered(status: number, isOwn: boolean, milliseconds: number): void;
+  recordResponse(status: number, isOwn: boolean, milliseconds: number): void;
 }
 
 /** Connections and requests of the server. */
@@ -161,7 +161,7 @@
   }
 
   /** Applies these limits to callers. */
-  apply(limits: CallerLimits): void {
+  applyLimits(limits: CallerLimits): void {
     this.#limits = limits;
     this.#server.headersTimeout = limits.headerTimeout;
     this.#server.keepAliveTimeout = limits.idleTimeout;
@@ -269,7 +269,7 @@
     if (statusText === "") response.writeHead(status, head);
     else response.writeHead(status, statusText, head);
     response.end(body);
-    this.observer.answered(status, isOwn, monotonicNow() - arrivedAt);
+    this.observer.recordResponse(status, isOwn, monotonicNow() - arrivedAt);
   }
 
   #handleRequest(request: IncomingMessage, response: ServerResponse): void {
@@ -338,7 +338,7 @@
    */
   #forward(id: number, exchange: Exchange, receivedAt: number): void {
     const { headers } = exchange.request;
-    const { timeout, ...metadata } = this.codec.readCaller(headers);
+    const { timeout, ...metadata } = this.codec.readRequest(headers);
     const age = Math.round(monotonicNow() - receivedAt);
     const isDelayed = timeout !== null && age > MAXIMUM_FRESH_AGE;
     const remaining = isDelayed ? timeout - age : timeout;
--- a/src/runtime/control_store.ts
+++ b/src/runtime/control_store.ts
@@ -73,7 +73,7 @@
    * Reads the records from a position on. With a positive `wait`, waits up to
    * that many milliseconds for the next record.
    */
-  abstract readOn(feed: Feed, from: number, wait: number): Promise<StoreRead>;
+  abstract readFrom(feed: Feed, from: number, wait: number): Promise<StoreRead>;
   /** Reads the registry from a position on, or completely (null). */
   abstract readServers(from: number | null): Promise<ServersRead>;
   /**
@@ -118,7 +118,7 @@
    * Resolves when a short call succeeds after the last failed one, at the
    * latest after `timeout` milliseconds; immediately if no call has failed.
    */
-  abstract reached(timeout: number): Promise<void>;
+  abstract waitUntilReachable(timeout: number): Promise<void>;
   /** Reads the current configuration and the end of its record. */
   abstract readConfiguration(): Promise<PublishedConfiguration>;
   /** Publishes a configuration if its record still ends at `end`. */
--- a/src/runtime/effect_runner.ts
+++ b/src/runtime/effect_runner.ts
@@ -91,7 +91,7 @@
       case "feeds.follow":
         return this.adapters.setFeedsEnabled(effect.isOn);
       case "limits.apply":
-        return callers.apply(effect.limits);
+        return callers.applyLimits(effect.limits);
       case "connections.close":
         return backends.closeConnections(effect.server);
       case "readiness.set":
--- a/src/runtime/entry_metrics.ts
+++ b/src/runtime/entry_metrics.ts
@@ -40,7 +40,7 @@
   /**
    * Records a response to a caller; `isOwn` if plumloft itself produced it.
    */
-  answered(status: number, isOwn: boolean, milliseconds: number): void {
+  recordResponse(status: number, isOwn: boolean, milliseconds: number): void {
     const source = isOwn ? "plumloft" : "server";
     this.count("requests_total", `status="${status}",source="${source}"`);
     this.observe("request_milliseconds", milliseconds);
--- a/src/runtime/entry_process.ts
+++ b/src/runtime/entry_process.ts
@@ -195,12 +195,12 @@
   }
 
   /** Logs that the settings were reloaded. */
-  reloaded(isChanged: boolean): void {
+  logReload(isChanged: boolean): void {
     this.#logger.write("info", "settings.reloaded", { isChanged });
   }
 
   /** Logs that the settings could not be reloaded. */
-  reloadFailed(cause: string): void {
+  logReloadFailure(cause: string): void {
     this.#logger.write("warn", "settings.reload_failed", { cause });
   }
 
--- a/src/runtime/feed_follower.ts
+++ b/src/runtime/feed_follower.ts
@@ -126,7 +126,7 @@
       const pause = isDone ? this.timing.readInterval : RETRY_DELAY;
       const delay = startedAt + pause - monotonicNow();
       if (delay > 0) await new Promise((next) => setTimeout(next, delay));
-      if (!isDone) await this.store.reached(MAXIMUM_RETRY_WAIT);
+      if (!isDone) await this.store.waitUntilReachable(MAXIMUM_RETRY_WAIT);
     }
   }
 
@@ -140,7 +140,7 @@
     try {
       const read = this.#nextPosition === null
         ? await this.store.readAll(this.feed)
-        : await this.store.readOn(
+        : await this.store.readFrom(
           this.feed,
           this.#nextPosition,
           this.#longPollTimeout(sentAt),
--- a/src/runtime/feed_follower_test.ts
+++ b/src/runtime/feed_follower_test.ts
@@ -28,7 +28,7 @@
       readAllCount += 1;
       return Promise.resolve(read);
     },
-    readOn: (_feed: string, _from: number, timeout: number) => {
+    readFrom: (_feed: string, _from: number, timeout: number) => {
       timeouts.push(timeout);
       const result = results[readCount];
       readCount += 1;
@@ -37,7 +37,7 @@
       return new Promise<StoreRead>(() => {});
     },
     isExpired: () => false,
-    reached: () => Promise.resolve(),
+    waitUntilReachable: () => Promise.resolve(),
   } as unknown as ControlStore;
   const output = new Writable({ write: (_chunk, _encoding, done) => done() });
   const follower = FeedFollower.create(
--- a/src/runtime/header_codec.ts
+++ b/src/runtime/header_codec.ts
@@ -7,7 +7,7 @@
 import type { ReportedLoad } from "../core/fleet/index.ts";
 
 /** Information about a request besides method, path and body. */
-export interface CallerFacts {
+export interface RequestMetadata {
   /** Id of the request; empty if the caller sends none. */
   id: string;
   /** Time for which the caller waits, in milliseconds, or null. */
@@ -16,7 +16,7 @@
 }
 
 /** Information that a server's response carries in its headers. */
-export interface AnswerFacts {
+export interface ResponseMetadata {
   /** The server states that it did not run the request. */
   isNotRun: boolean;
   /** The response comes from the server itself and belongs to this request. */
@@ -36,25 +36,25 @@
 /** See the module's comment. */
 export abstract class HeaderCodec {
   /** Request headers for plumloft's own callers. */
-  abstract forCaller(facts: CallerFacts): Record<string, string>;
+  abstract callerHeaders(facts: RequestMetadata): Record<string, string>;
   /** Reads the headers of a caller's request. */
-  abstract readCaller(headers: IncomingHttpHeaders): CallerFacts;
+  abstract readRequest(headers: IncomingHttpHeaders): RequestMetadata;
   /**
    * Whether a request header with this lower-case name is internal and not
    * forwarded.
    */
-  abstract isOwn(name: string): boolean;
+  abstract isInternal(name: string): boolean;
   /**
    * Headers, as alternating names and values, for a request that only `server`
    * may run and whose response is awaited for `remaining` milliseconds.
    */
-  abstract forServer(server: string, remaining: number): string[];
+  abstract serverHeaders(server: string, remaining: number): string[];
   /**
    * Reads status and headers of a server's response to the request `requestId`.
    */
-  abstract readAnswer(
+  abstract readResponse(
     status: number,
     headers: IncomingHttpHeaders,
     requestId: string,
-  ): AnswerFacts;
+  ): ResponseMetadata;
 }
--- a/src/runtime/http_client.ts
+++ b/src/runtime/http_client.ts
@@ -22,7 +22,7 @@
   /** Connect timeout, in milliseconds. */
   connectTimeout: number;
   /** Maximum number of connections to one address. */
-  connections: number;
+  maximumConnections: number;
   /** Maximum time for which an idle connection is kept, in milliseconds. */
   idleTimeout: number;
 }
@@ -32,11 +32,11 @@
  * over a slow link is not restarted while its bytes keep arriving: restarts
  * would fill the link and never complete.
  */
-export interface Transfer {
+export interface TransferTimeouts {
   /** Maximum time without a byte. */
-  stall: number;
+  stallTimeout: number;
   /** Maximum time for the whole response. */
-  longest: number;
+  totalTimeout: number;
 }
 
 /** One call. */
@@ -53,15 +53,15 @@
    */
   timeout: number;
   /** Timeouts for the rest of the response once it has begun. */
-  transfer?: Transfer;
+  transfer?: TransferTimeouts;
   /** Called when the response begins. */
-  began?: () => void;
+  onResponse?: () => void;
   /** Aborts the call and resets its connection. */
   signal?: AbortSignal;
   /**
    * Time from now within which the call may open a connection, in milliseconds;
    * unlimited if omitted. If none is available after that, the call is not sent
-   * and rejects with a {@linkcode ConnectionLackError}.
+   * and rejects with a {@linkcode NoConnectionError}.
    */
   connectWithin?: number;
 }
@@ -69,14 +69,14 @@
 /**
  * Thrown when a call that may no longer open a connection finds none available.
  */
-export class ConnectionLackError extends Error {
+export class NoConnectionError extends Error {
   private constructor() {
     super("no connection available");
   }
 
   /** Creates an error for one call. */
-  static create(): ConnectionLackError {
-    return new ConnectionLackError();
+  static create(): NoConnectionError {
+    return new NoConnectionError();
   }
 }
 
@@ -104,7 +104,7 @@
   private constructor(private readonly options: HttpClientOptions) {
     this.#agent = new Agent({
       keepAlive: true,
-      maxSockets: options.connections,
+      maxSockets: options.maximumConnections,
       scheduling: "lifo",
       timeout: options.idleTimeout,
     });
@@ -146,12 +146,12 @@
     };
     let timer = setTimeout(onTimeout, timeout);
     request.once("response", (response: IncomingMessage) => {
-      call.began?.();
+      call.onResponse?.();
       if (transfer === undefined) return;
       clearTimeout(timer);
-      timer = setTimeout(onTimeout, transfer.stall);
-      const latestRefreshAt = monotonicNow() + transfer.longest -
-        transfer.stall;
+      timer = setTimeout(onTimeout, transfer.stallTimeout);
+      const latestRefreshAt = monotonicNow() + transfer.totalTimeout -
+        transfer.stallTimeout;
       response.on("data", () => {
         if (monotonicNow() <= latestRefreshAt) timer.refresh();
       });
@@ -201,7 +201,7 @@
   const startedAt = monotonicNow();
   request.once("socket", (socket) => {
     if (!socket.connecting || monotonicNow() - startedAt < time) return;
-    request.destroy(ConnectionLackError.create());
+    request.destroy(NoConnectionError.create());
   });
 }
 
--- a/src/runtime/http_client_test.ts
+++ b/src/runtime/http_client_test.ts
@@ -5,12 +5,12 @@
   type HttpCall,
   HttpClient,
   type HttpClientOptions,
-  type Transfer,
+  type TransferTimeouts,
 } from "./http_client.ts";
 
 const OPTIONS: HttpClientOptions = {
   connectTimeout: 300,
-  connections: 4,
+  maximumConnections: 4,
   idleTimeout: 4_000,
 };
 const CALL = { method: "GET", path: "/", timeout: 150 } as const;
@@ -134,7 +134,7 @@
     t,
     (path) => path === "/silent" ? null : "text",
   );
-  const client = HttpClient.create({ ...OPTIONS, connections: 1 });
+  const client = HttpClient.create({ ...OPTIONS, maximumConnections: 1 });
   t.teardown(() => client.close());
   const rejected = client.send(address, { ...CALL, connectWithin: 0 });
   await t.throwsAsync(rejected, { message: "no connection available" });
@@ -177,13 +177,13 @@
 
 test("http client: accepts a slow response, and rejects one that stalls", async (t) => {
   const client = createClient(t);
-  const transfer: Transfer = { stall: 250, longest: 5_000 };
+  const transfer: TransferTimeouts = { stallTimeout: 250, totalTimeout: 5_000 };
   const whole = await startSlowServer(t, true);
   const call: HttpCall = { ...CALL, timeout: 250, transfer };
   t.is((await client.send(whole, call)).body.length, 8);
   const bounded: HttpCall = {
     ...call,
-    transfer: { ...transfer, longest: 300 },
+    transfer: { ...transfer, totalTimeout: 300 },
   };
   const stalling = await startSlowServer(t, false);
   for (
--- a/test/ending_request_test.ts
+++ b/test/ending_request_test.ts
@@ -95,7 +95,7 @@
       method: "POST",
       headers: {
         host: HOST,
-        ...codec.forCaller({ id, timeout: 2_000, key }),
+        ...codec.callerHeaders({ id, timeout: 2_000, key }),
       },
       body: "crashes its server",
     });
--- a/test/platform_test.ts
+++ b/test/platform_test.ts
@@ -172,7 +172,7 @@
   await store.evacuate("north", true);
   await store.evacuate("north", false);
   await store.evacuate("unknown", false);
-  const next = await store.readOn("configuration", first.next, 0);
+  const next = await store.readFrom("configuration", first.next, 0);
   t.deepEqual(zones(next), [{
     position: 5,
     evacuated: [],
@@ -258,7 +258,7 @@
 test("headers: decodes responses and caller requests", (t) => {
   const codec = PlatformHeaders.create();
   const read = (status: number, headers: Record<string, string>) =>
-    codec.readAnswer(status, headers, "r-1");
+    codec.readResponse(status, headers, "r-1");
   const own = { "x-plumloft-request-id": "r-1" };
   t.snapshot({
     genuine: read(200, {
@@ -293,7 +293,7 @@
   ) {
     t.is(rateLimit(value), undefined, value);
   }
-  t.snapshot(codec.readCaller({
+  t.snapshot(codec.readRequest({
     ...own,
     "x-plumloft-deadline-ms": "500",
     "x-plumloft-shard-key": "-3",
@@ -563,7 +563,7 @@
         await client.append(topic, records, {});
         for (
           const read of [
-            await store.readOn(feed, next, 0),
+            await store.readFrom(feed, next, 0),
             await store.readAll(feed),
           ]
         ) {
--- a/test/soak/soak_run.ts
+++ b/test/soak/soak_run.ts
@@ -448,7 +448,7 @@
   service: string,
   variant: number,
 ): Promise<void> {
-  const headers = PlatformHeaders.create().forCaller({
+  const headers = PlatformHeaders.create().callerHeaders({
     id: `ends-${randomUUID()}`,
     timeout: 2_000,
     key: variant * 1_000,
--- a/test/support/caller_connection.ts
+++ b/test/support/caller_connection.ts
@@ -35,12 +35,12 @@
   const server = CallerServer.create(
     PlatformHeaders.create(),
     { push: (each) => void occurrences.push(each) },
-    { answered: () => {} },
+    { recordResponse: () => {} },
     lag,
   );
   const address = loopbackAddress();
   await server.listen(address);
-  server.apply(limits);
+  server.applyLimits(limits);
   const { host, port } = parseAddress(address);
   const socket = connect(port, host);
   let text = "";
