--- a/src/cli/demo.ts
+++ b/src/cli/demo.ts
@@ -10,8 +10,8 @@
 import { Writable } from "node:stream";
 import { setTimeout as delay } from "node:timers/promises";
 import {
-  PlatformHeaders,
-  PlatformOrders,
+  PlatformHeaderCodec,
+  PlatformOrderSender,
   PlatformStore,
 } from "../../platform/index.ts";
 import {
@@ -168,8 +168,8 @@
   const { store, vm } = settings;
   const platform = {
     store: PlatformStore.create(store.address, vm, vm),
-    headers: PlatformHeaders.create(),
-    orders: PlatformOrders.create(),
+    headers: PlatformHeaderCodec.create(),
+    orders: PlatformOrderSender.create(),
   };
   return EntryProcess.start(settings, platform, createDiscardStream(), seed);
 }
--- a/src/cli/demo_command.ts
+++ b/src/cli/demo_command.ts
@@ -6,7 +6,7 @@
  */
 import { request } from "undici";
 import type { Argv } from "yargs";
-import { PlatformHeaders } from "../../platform/index.ts";
+import { PlatformHeaderCodec } from "../../platform/index.ts";
 import { Demo, DEMO_HOST } from "./demo.ts";
 import { EXIT_CODE } from "./exit_code.ts";
 
@@ -120,5 +120,5 @@
 
 function callerHeaders(id: string, key: number): Record<string, string> {
   const fields = { id, timeout: CALLER_TIMEOUT, key };
-  return { host: DEMO_HOST, ...PlatformHeaders.create().callerHeaders(fields) };
+  return { host: DEMO_HOST, ...PlatformHeaderCodec.create().callerHeaders(fields) };
 }
--- a/src/cli/explain_command.ts
+++ b/src/cli/explain_command.ts
@@ -6,7 +6,7 @@
 import { createReadStream } from "node:fs";
 import { createInterface } from "node:readline";
 import type { Argv } from "yargs";
-import { findStory, type StoryLine } from "../logging/story.ts";
+import { traceRequest, type TraceLine } from "../logging/story.ts";
 
 /** File name that means standard input. */
 const STANDARD_INPUT = "-";
@@ -48,12 +48,12 @@
       if (line.includes(request)) lines.push(line);
     }
   }
-  const story = findStory(request, lines);
+  const story = traceRequest(request, lines);
   for (const line of story.lines) process.stdout.write(`${formatLine(line)}\n`);
   process.stdout.write(`cause: ${story.cause}\n`);
 }
 
-function formatLine({ time, vm, decision, detail }: StoryLine): string {
+function formatLine({ time, vm, decision, detail }: TraceLine): string {
   const fields = Object.entries(detail)
     .map(([name, value]) => `${name}=${value}`).join(" ");
   return `${time} ${vm} ${decision} ${fields}`;
--- a/src/cli/load_command.ts
+++ b/src/cli/load_command.ts
@@ -5,7 +5,7 @@
  */
 import { createWriteStream } from "node:fs";
 import type { Argv } from "yargs";
-import { PlatformHeaders } from "../../platform/index.ts";
+import { PlatformHeaderCodec } from "../../platform/index.ts";
 import { isServed, type LoadPlan, runLoad } from "../load/index.ts";
 
 interface LoadOptions {
@@ -71,7 +71,7 @@
   const plan: LoadPlan = {
     targets: options.target,
     service: options.service,
-    codec: PlatformHeaders.create(),
+    codec: PlatformHeaderCodec.create(),
     host: options.host,
     path: options.path,
     timeout: options.timeout,
--- a/src/cli/serve_command.ts
+++ b/src/cli/serve_command.ts
@@ -6,8 +6,8 @@
 import { randomBytes } from "node:crypto";
 import type { Argv } from "yargs";
 import {
-  PlatformHeaders,
-  PlatformOrders,
+  PlatformHeaderCodec,
+  PlatformOrderSender,
   PlatformStore,
 } from "../../platform/index.ts";
 import { errorText } from "../errors/index.ts";
@@ -43,8 +43,8 @@
     // after all VMs are lost, the new members would wait until the store expires
     // the old ones.
     store: PlatformStore.create(address, settings.vm, settings.peer),
-    headers: PlatformHeaders.create(),
-    orders: PlatformOrders.create(),
+    headers: PlatformHeaderCodec.create(),
+    orders: PlatformOrderSender.create(),
   };
   const starting = EntryProcess.start(
     settings,
--- a/src/launcher/compiled_program.ts
+++ b/src/launcher/compiled_program.ts
@@ -71,7 +71,7 @@
   }
 
   /** Writes the code cache of all functions that have run so far. */
-  writeCode(): void {
+  writeCodeCache(): void {
     const cacheFile = join(dirname(this.file), CODE_CACHE_FILE);
     writeFileSync(cacheFile, this.#script.createCachedData());
   }
--- a/src/launcher/compiled_program_test.ts
+++ b/src/launcher/compiled_program_test.ts
@@ -23,7 +23,7 @@
   const first = CompiledProgram.load(folder);
   first.run();
   t.deepEqual(readResult(), [folder, "function"]);
-  first.writeCode();
+  first.writeCodeCache();
   t.true(existsSync(join(folder, "program.code")));
   const second = CompiledProgram.load(folder);
   t.false(second.isCodeCacheRejected);
--- a/src/load/load_generator.ts
+++ b/src/load/load_generator.ts
@@ -7,7 +7,7 @@
 import { Pool } from "undici";
 import type { HeaderCodec } from "../runtime/header_codec.ts";
 import { KEY_COUNT } from "../core/keyspace/index.ts";
-import { Latencies } from "../metrics/index.ts";
+import { LatencyHistogram } from "../metrics/index.ts";
 import type { Call } from "./history.ts";
 
 /** Statuses that guarantee that no server has run the request or will run it. */
@@ -45,7 +45,7 @@
 /** Outcomes of a load. */
 export interface LoadResult {
   calls: Call[];
-  latencies: Latencies;
+  latencies: LatencyHistogram;
   /** Duration of the load. */
   seconds: number;
 }
@@ -60,7 +60,7 @@
     pool: new Pool(`http://${target}`, { connections: plan.callers }),
   }));
   const calls: Call[] = [];
-  const latencies = Latencies.create();
+  const latencies = LatencyHistogram.create();
   const start = performance.now();
   const end = start + plan.seconds * 1_000;
   let nextNumber = 0;
--- a/src/logging/batched_transport_test.ts
+++ b/src/logging/batched_transport_test.ts
@@ -1,6 +1,6 @@
 import { Writable } from "node:stream";
 import test from "ava";
-import { Journal } from "./logger.ts";
+import { Logger } from "./logger.ts";
 
 /** Waits for the next turn of the event loop, so that pending events are handled. */
 const nextTurn = () => new Promise((resolve) => setImmediate(resolve));
@@ -9,7 +9,7 @@
   const output = new Writable({
     write: (_chunk, _encoding, done) => done(new Error("EPIPE")),
   });
-  const logger = Journal.create("vm", "info", output);
+  const logger = Logger.create("vm", "info", output);
   logger.write("info", "first", {});
   logger.flush();
   await nextTurn();
--- a/src/logging/logger.ts
+++ b/src/logging/logger.ts
@@ -17,7 +17,7 @@
 const MESSAGE = Symbol.for("message");
 
 /** See the module's comment. */
-export class Journal {
+export class Logger {
   private constructor(
     private readonly logger: winston.Logger,
     private readonly transport: BatchedTransport,
@@ -26,7 +26,7 @@
 
   /** Creates a logger for the VM `vm` that writes lines of `level` and above to
    * `output`. */
-  static create(vm: string, level: LogLevel, output: Writable): Journal {
+  static create(vm: string, level: LogLevel, output: Writable): Logger {
     const transport = BatchedTransport.create(output);
     const jsonFormat = winston.format((info) => {
       // The only place that serializes a record: serialization is most of the cost
@@ -41,7 +41,7 @@
       format: jsonFormat(),
       transports: [transport],
     });
-    return new Journal(logger, transport, vm);
+    return new Logger(logger, transport, vm);
   }
 
   /** Writes one line. */
--- a/src/logging/story.ts
+++ b/src/logging/story.ts
@@ -5,7 +5,7 @@
  */
 
 /** A log line about the request. */
-export interface StoryLine {
+export interface TraceLine {
   time: string;
   vm: string;
   decision: string;
@@ -14,7 +14,7 @@
 
 /** The log lines of a request and its outcome. */
 export interface RequestTrace {
-  lines: StoryLine[];
+  lines: TraceLine[];
   /** Outcome of the request and its cause, in one sentence. */
   cause: string;
 }
@@ -26,8 +26,8 @@
  * Collects the log lines of the request `id` in order of time. Ignores lines that are
  * truncated, not JSON or about another request.
  */
-export function findStory(id: string, lines: Iterable<string>): RequestTrace {
-  const matches: StoryLine[] = [];
+export function traceRequest(id: string, lines: Iterable<string>): RequestTrace {
+  const matches: TraceLine[] = [];
   for (const line of lines) {
     if (!line.includes(id)) continue;
     const parsed = parseLine(line);
@@ -57,7 +57,7 @@
 }
 
 /** Explains the outcome of a request from the last line that determines it. */
-function explainOutcome(lines: readonly StoryLine[]): string {
+function explainOutcome(lines: readonly TraceLine[]): string {
   const last = lines.findLast((entry) => entry.decision in OUTCOMES);
   if (last !== undefined) return OUTCOMES[last.decision](last.detail, lines);
   return lines.length === 0
@@ -67,7 +67,7 @@
 
 type Explanation = (
   detail: Record<string, unknown>,
-  lines: readonly StoryLine[],
+  lines: readonly TraceLine[],
 ) => string;
 
 const OUTCOMES: Record<string, Explanation> = {
--- a/src/logging/story_test.ts
+++ b/src/logging/story_test.ts
@@ -1,5 +1,5 @@
 import test from "ava";
-import { findStory } from "./story.ts";
+import { traceRequest } from "./story.ts";
 
 function line(message: string, detail: Record<string, unknown>): string {
   const time = "2026-01-01T00:00:00.000Z";
@@ -10,7 +10,7 @@
   const causes = [
     line("request.turned_away", { reason: "this VM is stopping" }),
     line("request.read_late", { timeout: 100, age: 480 }),
-  ].map((entry) => findStory("r", [entry]).cause);
+  ].map((entry) => traceRequest("r", [entry]).cause);
   t.deepEqual(causes, [
     "503 immediately, not run: this VM is stopping",
     "503, not run: read 480 ms after it arrived, when its caller's timeout of 100 ms had expired",
@@ -19,7 +19,7 @@
 
 test("request trace: a refusal by a key limit states the admitted share and the age of the limit", (t) => {
   const reason = "the key is asked for more than its server can do";
-  const { cause } = findStory("r", [
+  const { cause } = traceRequest("r", [
     line("request.crowded_out", { share: 0.1, chance: 0.5, limitAge: 300 }),
     line("request.refused", { reason, service: "stock", age: 2 }),
   ]);
--- a/src/metrics/latencies.ts
+++ b/src/metrics/latencies.ts
@@ -20,7 +20,7 @@
 }
 
 /** A histogram of durations with three significant digits. */
-export class Latencies {
+export class LatencyHistogram {
   readonly #histogram: Histogram = build({
     lowestDiscernibleValue: 1,
     highestTrackableValue: 60 * 1_000 * MICROSECONDS_PER_MILLISECOND,
@@ -31,8 +31,8 @@
   private constructor() {}
 
   /** Creates an empty histogram. */
-  static create(): Latencies {
-    return new Latencies();
+  static create(): LatencyHistogram {
+    return new LatencyHistogram();
   }
 
   /** Records one duration in milliseconds. */
--- a/src/runtime/backend_pool_test.ts
+++ b/src/runtime/backend_pool_test.ts
@@ -2,7 +2,7 @@
 import type { AddressInfo } from "node:net";
 import { setTimeout as delay } from "node:timers/promises";
 import test, { type ExecutionContext } from "ava";
-import { PlatformHeaders } from "../../platform/index.ts";
+import { PlatformHeaderCodec } from "../../platform/index.ts";
 import type { UntimedEvent } from "../core/entry_event.ts";
 import { BackendPool, type OutgoingRequest } from "./backend_pool.ts";
 
@@ -42,7 +42,7 @@
     if (next === undefined) outcomes.push(occurrence);
     else next(occurrence);
   };
-  const pool = BackendPool.create(PlatformHeaders.create(), { push });
+  const pool = BackendPool.create(PlatformHeaderCodec.create(), { push });
   t.teardown(() => pool.close());
   let count = 0;
   const send = (id: string, body = ""): Promise<UntimedEvent> => {
--- a/src/runtime/effect_runner.ts
+++ b/src/runtime/effect_runner.ts
@@ -17,7 +17,7 @@
   OrderOutcome,
   ReleaseOrder,
 } from "../core/keyspace/index.ts";
-import type { Journal } from "../logging/index.ts";
+import type { Logger } from "../logging/index.ts";
 import type { BackendPool } from "./backend_pool.ts";
 import type { CallerServer } from "./caller_server.ts";
 import type { EffectHandler, EventSink } from "./entry_loop.ts";
@@ -51,7 +51,7 @@
   peerAddress: string;
   readiness: ReadinessServer;
   metrics: EntryMetrics;
-  logger: Journal;
+  logger: Logger;
   /** Starts or pauses reading the store's feeds. */
   setFeedsEnabled(isEnabled: boolean): void;
   /** Reads the configuration immediately. */
--- a/src/runtime/entry_metrics.ts
+++ b/src/runtime/entry_metrics.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import { Latencies } from "../metrics/latencies.ts";
+import { LatencyHistogram } from "../metrics/latencies.ts";
 
 /** Returns the current gauges; called when metrics are rendered. */
 export type GaugeReader = () => Record<string, number>;
@@ -12,7 +12,7 @@
 /** See the module's comment. */
 export class EntryMetrics {
   readonly #counters = new Map<string, number>();
-  readonly #latencies = new Map<string, Latencies>();
+  readonly #latencies = new Map<string, LatencyHistogram>();
 
   private constructor(private readonly readGauges: GaugeReader) {}
 
@@ -31,7 +31,7 @@
   observe(name: string, milliseconds: number): void {
     let latencies = this.#latencies.get(name);
     if (latencies === undefined) {
-      latencies = Latencies.create();
+      latencies = LatencyHistogram.create();
       this.#latencies.set(name, latencies);
     }
     latencies.record(milliseconds);
--- a/src/runtime/entry_process.ts
+++ b/src/runtime/entry_process.ts
@@ -8,7 +8,7 @@
 import { Entry } from "../core/entry.ts";
 import { describeEntry, type EntryStatus } from "../core/entry_status.ts";
 import { fitnessOf, capHoldTimes } from "../core/keyspace/index.ts";
-import { Journal } from "../logging/index.ts";
+import { Logger } from "../logging/index.ts";
 import type { EntrySettings } from "../settings/index.ts";
 import { AdminServer } from "./admin_server.ts";
 import { BackendPool } from "./backend_pool.ts";
@@ -87,7 +87,7 @@
   readonly #readinessServer = ReadinessServer.create();
   readonly #adminServer: AdminServer;
   readonly #peerNetwork: PeerNetwork;
-  readonly #logger: Journal;
+  readonly #logger: Logger;
   readonly #metrics: EntryMetrics;
   #resolveStopped: () => void = () => {};
 
@@ -98,7 +98,7 @@
     seed: number,
   ) {
     this.stopped = new Promise((resolve) => this.#resolveStopped = resolve);
-    this.#logger = Journal.create(settings.vm, settings.logging.level, output);
+    this.#logger = Logger.create(settings.vm, settings.logging.level, output);
     const shutdownTimeout = settings.shutdownTimeoutSeconds *
       MILLISECONDS_PER_SECOND;
     const entry = this.#entry = Entry.create({
@@ -279,7 +279,7 @@
 /** Gauges of the core and of the process. */
 function readGauges(
   entry: Entry,
-  logger: Journal,
+  logger: Logger,
   traffic: PeerTraffic,
   callers: CallerCounts,
 ): Record<string, number> {
--- a/src/runtime/feed_follower.ts
+++ b/src/runtime/feed_follower.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import type { Journal } from "../logging/index.ts";
+import type { Logger } from "../logging/index.ts";
 import { errorText } from "../errors/index.ts";
 import { monotonicNow } from "./monotonic_clock.ts";
 import type { ControlStore, Feed, StoreRead } from "./control_store.ts";
@@ -71,7 +71,7 @@
     feed: Feed,
     timing: FeedTiming,
     sink: EventSink,
-    logger: Journal,
+    logger: Logger,
     metrics: EntryMetrics,
   ): FeedFollower {
     const faultLog = RecordFaultLog.create(feed, logger, metrics);
--- a/src/runtime/feed_follower_test.ts
+++ b/src/runtime/feed_follower_test.ts
@@ -1,6 +1,6 @@
 import { Writable } from "node:stream";
 import test from "ava";
-import { Journal } from "../logging/index.ts";
+import { Logger } from "../logging/index.ts";
 import type { ControlStore, StoreRead } from "./control_store.ts";
 import { EntryMetrics } from "./entry_metrics.ts";
 import { FeedFollower } from "./feed_follower.ts";
@@ -49,7 +49,7 @@
       readInterval: 0,
     },
     { push: () => {} },
-    Journal.create("vm", "error", output),
+    Logger.create("vm", "error", output),
     EntryMetrics.create(() => ({})),
   );
   return { follower, timeouts, readAll: () => readAllCount };
--- a/src/runtime/hostile_text_test.ts
+++ b/src/runtime/hostile_text_test.ts
@@ -7,7 +7,7 @@
  */
 import { createServer, type Socket } from "node:net";
 import test, { type ExecutionContext } from "ava";
-import { PlatformHeaders } from "../../platform/index.ts";
+import { PlatformHeaderCodec } from "../../platform/index.ts";
 import { connectCaller } from "../../test/support/caller_connection.ts";
 import { loopbackAddress } from "../../test/support/loopback_address.ts";
 import { BackendPool, type BackendResponse } from "./backend_pool.ts";
@@ -28,7 +28,7 @@
 async function runAttempt(server: string, address: string) {
   const outcomes: string[] = [];
   let response: BackendResponse | null = null;
-  const pool = BackendPool.create(PlatformHeaders.create(), {
+  const pool = BackendPool.create(PlatformHeaderCodec.create(), {
     push: (each) => {
       if (each.kind !== "attempt.ended") return;
       outcomes.push(each.outcome.kind);
--- a/src/runtime/peer_network.ts
+++ b/src/runtime/peer_network.ts
@@ -8,7 +8,7 @@
 import { createServer, type Server, Socket } from "node:net";
 import * as z from "zod";
 import { type PeerMessage, peerMessageSchema } from "../core/peers/index.ts";
-import { type Journal } from "../logging/index.ts";
+import { type Logger } from "../logging/index.ts";
 import { parseAddress } from "../settings/index.ts";
 import type { EventSink } from "./entry_loop.ts";
 import { encodeFrame, FrameDecoder, PROTOCOL_VERSION } from "./frame.ts";
@@ -106,7 +106,7 @@
   private constructor(
     private readonly identity: PeerIdentity,
     private readonly sink: EventSink,
-    private readonly logger: Journal,
+    private readonly logger: Logger,
   ) {
     this.#server = createServer((socket) => this.#addSocket(socket));
   }
@@ -115,7 +115,7 @@
   static create(
     identity: PeerIdentity,
     sink: EventSink,
-    logger: Journal,
+    logger: Logger,
   ): PeerNetwork {
     return new PeerNetwork(identity, sink, logger);
   }
--- a/src/runtime/peer_network_test.ts
+++ b/src/runtime/peer_network_test.ts
@@ -7,7 +7,7 @@
 import { largeConfiguration } from "../../test/support/large_configuration.ts";
 import type { UntimedEvent } from "../core/entry_event.ts";
 import type { PeerMessage } from "../core/peers/index.ts";
-import { Journal } from "../logging/index.ts";
+import { Logger } from "../logging/index.ts";
 import { PeerNetwork } from "./peer_network.ts";
 
 const MESSAGE: PeerMessage = {
@@ -23,7 +23,7 @@
   const network = PeerNetwork.create(
     { vm: address, peerAddress: address },
     { push: (each) => void received.push(each) },
-    Journal.create(address, "error", new PassThrough()),
+    Logger.create(address, "error", new PassThrough()),
   );
   return { network, received };
 }
--- a/src/runtime/record_faults.ts
+++ b/src/runtime/record_faults.ts
@@ -6,7 +6,7 @@
  *
  * @module
  */
-import type { Journal } from "../logging/index.ts";
+import type { Logger } from "../logging/index.ts";
 import type { DecodedRead } from "./control_store.ts";
 import type { EntryMetrics } from "./entry_metrics.ts";
 
@@ -25,14 +25,14 @@
 
   private constructor(
     private readonly feed: string,
-    private readonly logger: Journal,
+    private readonly logger: Logger,
     private readonly metrics: EntryMetrics,
   ) {}
 
   /** Creates a log for the records of `feed`, without any fault. */
   static create(
     feed: string,
-    logger: Journal,
+    logger: Logger,
     metrics: EntryMetrics,
   ): RecordFaultLog {
     return new RecordFaultLog(feed, logger, metrics);
--- a/src/runtime/record_faults_test.ts
+++ b/src/runtime/record_faults_test.ts
@@ -1,6 +1,6 @@
 import { Writable } from "node:stream";
 import test from "ava";
-import { Journal } from "../logging/index.ts";
+import { Logger } from "../logging/index.ts";
 import { EntryMetrics } from "./entry_metrics.ts";
 import { RecordFaultLog } from "./record_faults.ts";
 
@@ -12,7 +12,7 @@
       done();
     },
   });
-  const logger = Journal.create("vm", "info", output);
+  const logger = Logger.create("vm", "info", output);
   const metrics = EntryMetrics.create(() => ({}));
   const faultLog = RecordFaultLog.create("servers", logger, metrics);
   const lines = () => {
--- a/src/runtime/store_link.ts
+++ b/src/runtime/store_link.ts
@@ -16,7 +16,7 @@
 import type { QuarantineWrite } from "../core/exchange/index.ts";
 import type { RegistryFetch } from "../core/registry/index.ts";
 import { errorText } from "../errors/index.ts";
-import type { Journal } from "../logging/index.ts";
+import type { Logger } from "../logging/index.ts";
 import type { ControlStore, RecordsRead } from "./control_store.ts";
 import type { EventSink } from "./entry_loop.ts";
 import type { EntryMetrics } from "./entry_metrics.ts";
@@ -40,7 +40,7 @@
     store: ControlStore,
     timeToLive: number,
     sink: EventSink,
-    logger: Journal,
+    logger: Logger,
     metrics: EntryMetrics,
   ): StoreLink {
     return new StoreLink(
--- a/src/stand_ins/store_service.ts
+++ b/src/stand_ins/store_service.ts
@@ -98,7 +98,7 @@
   }
 
   /** Sets the given faults and leaves the others as they are. */
-  set(faults: Partial<StoreFaults>): void {
+  setFaults(faults: Partial<StoreFaults>): void {
     this.#faults = { ...this.#faults, ...faults };
   }
 
--- a/test/ending_request_test.ts
+++ b/test/ending_request_test.ts
@@ -10,9 +10,9 @@
 import { randomUUID } from "node:crypto";
 import { setTimeout as delay } from "node:timers/promises";
 import { request } from "undici";
-import { PlatformHeaders } from "../platform/index.ts";
+import { PlatformHeaderCodec } from "../platform/index.ts";
 import { formatStatus } from "../src/cli/status_command.ts";
-import { findStory } from "../src/logging/index.ts";
+import { traceRequest } from "../src/logging/index.ts";
 import { type Call, isServed, type Run, runLoad } from "../src/load/index.ts";
 import {
   crashingPath,
@@ -83,7 +83,7 @@
   service: Service,
   copies: number,
 ) {
-  const codec = PlatformHeaders.create();
+  const codec = PlatformHeaderCodec.create();
   const statuses: number[] = [];
   const end = Date.now() + DURATION;
   for (let count = 0; Date.now() < end; count++) {
@@ -153,7 +153,7 @@
     const refused = lines.find(({ message }) =>
       message === "request.held_back"
     );
-    const trace = findStory(
+    const trace = traceRequest(
       String(refused?.request),
       lines.map((line) => JSON.stringify(line)),
     );
--- a/test/explain_test.ts
+++ b/test/explain_test.ts
@@ -1,5 +1,5 @@
 import test from "ava";
-import { findStory } from "../src/logging/index.ts";
+import { traceRequest } from "../src/logging/index.ts";
 import { type Call, isServed, runLoad } from "../src/load/index.ts";
 import { Deployment } from "./support/deployment.ts";
 
@@ -19,7 +19,7 @@
   const lines = deployment.entries.flatMap((entry) =>
     deployment.logOf(entry).map((line) => JSON.stringify(line))
   );
-  return findStory(id, ["cut {short", ...lines, `foreign ${id} text`]);
+  return traceRequest(id, ["cut {short", ...lines, `foreign ${id} text`]);
 }
 
 test("explain: the request id suffices to explain a lost response, a moving key and overload", async (t) => {
@@ -61,5 +61,5 @@
 });
 
 test("explain: reports that a request has no log lines", (t) => {
-  t.snapshot(findStory("r-1", ["{}", '{"request":"r-10"}']));
+  t.snapshot(traceRequest("r-1", ["{}", '{"request":"r-10"}']));
 });
--- a/test/order_client_test.ts
+++ b/test/order_client_test.ts
@@ -1,16 +1,16 @@
 import { createServer, type RequestListener } from "node:http";
 import type { AddressInfo } from "node:net";
 import test, { type ExecutionContext } from "ava";
-import { PlatformOrders } from "../platform/index.ts";
+import { PlatformOrderSender } from "../platform/index.ts";
 
 /** Starts a server that responds with `respond`; returns its address and an order sender. */
 async function startOrderServer(
   t: ExecutionContext,
   respond: RequestListener,
-): Promise<{ orders: PlatformOrders; address: string }> {
+): Promise<{ orders: PlatformOrderSender; address: string }> {
   const server = createServer(respond);
   await new Promise<void>((next) => server.listen(0, "127.0.0.1", next));
-  const orders = PlatformOrders.create();
+  const orders = PlatformOrderSender.create();
   t.teardown(() => {
     orders.close();
     server.close();
--- a/test/platform_test.ts
+++ b/test/platform_test.ts
@@ -8,8 +8,8 @@
 import { encode } from "cbor-x";
 import fc from "fast-check";
 import {
-  PlatformHeaders,
-  PlatformOrders,
+  PlatformHeaderCodec,
+  PlatformOrderSender,
   PlatformStore,
 } from "../platform/index.ts";
 import { decodeHolder, decodeRecords } from "../platform/assignment_codec.ts";
@@ -256,7 +256,7 @@
 });
 
 test("headers: decodes responses and caller requests", (t) => {
-  const codec = PlatformHeaders.create();
+  const codec = PlatformHeaderCodec.create();
   const read = (status: number, headers: Record<string, string>) =>
     codec.readResponse(status, headers, "r-1");
   const own = { "x-plumloft-request-id": "r-1" };
@@ -311,11 +311,11 @@
   t.is(await append(5, 0, 0), 1);
   t.is(await failureOf(append(5, 1, 9)), "conflict");
   t.is(await failureOf(append(4, 0)), "conflict");
-  store.set({ loseAnswers: 1 });
+  store.setFaults({ loseAnswers: 1 });
   t.is(await failureOf(append(5, 1)), "unanswered");
   t.is(await failureOf(append(5, 3)), "conflict");
   t.is(await append(6, 0), 3);
-  const { items, end } = await client.newest(TOPIC);
+  const { items, end } = await client.readNewest(TOPIC);
   t.deepEqual(items.map(({ value }) => value.toString()), ["6.0"]);
   t.is(end, 3);
 });
@@ -345,7 +345,7 @@
   const pendingRead = client.read(TOPIC, 0, 2_000);
   await client.append(TOPIC, [record("k", "1")], {});
   t.is((await pendingRead).records.length, 1);
-  store.set({ retention: 1 });
+  store.setFaults({ retention: 1 });
   await client.append(TOPIC, [record("k", "2"), record("k", "3")], {});
   t.is(await failureOf(client.read(TOPIC, 0)), "expired");
 });
@@ -353,10 +353,10 @@
 test("store client: a waiting read fails when the store is lost", async (t) => {
   const store = await startStore(t);
   const client = createClient(t, store.address);
-  await client.newest(TOPIC);
+  await client.readNewest(TOPIC);
   const pendingRead = failureOf(client.read(TOPIC, 0, 20_000));
-  store.set({ outage: true });
-  t.is(await failureOf(client.newest(TOPIC)), "unanswered");
+  store.setFaults({ outage: true });
+  t.is(await failureOf(client.readNewest(TOPIC)), "unanswered");
   t.is(await pendingRead, "unanswered");
 });
 
@@ -375,7 +375,7 @@
   const { port } = server.address() as { port: number };
   const client = createClient(t, `127.0.0.1:${port}`);
   const startedAt = performance.now();
-  t.is(await failureOf(client.newest(TOPIC)), "unanswered");
+  t.is(await failureOf(client.readNewest(TOPIC)), "unanswered");
   t.true(performance.now() - startedAt < 5_000);
 });
 
@@ -737,7 +737,7 @@
   });
   const server = await BackendService.start(settings);
   t.teardown(() => server.close());
-  const orders = PlatformOrders.create();
+  const orders = PlatformOrderSender.create();
   t.teardown(() => orders.close());
   const { address } = server;
   const keys = {
@@ -775,7 +775,7 @@
   });
   const server = await BackendService.start(settings);
   t.teardown(() => server.close());
-  const orders = PlatformOrders.create();
+  const orders = PlatformOrderSender.create();
   t.teardown(() => orders.close());
   const kinds: string[] = [];
   for (const mayConnect of [false, true, false]) {
--- a/test/soak/soak_run.ts
+++ b/test/soak/soak_run.ts
@@ -7,7 +7,7 @@
 import { setTimeout as delay } from "node:timers/promises";
 import { randomUUID } from "node:crypto";
 import { request } from "undici";
-import { PlatformHeaders } from "../../platform/index.ts";
+import { PlatformHeaderCodec } from "../../platform/index.ts";
 import {
   type Call,
   checkHistory,
@@ -448,7 +448,7 @@
   service: string,
   variant: number,
 ): Promise<void> {
-  const headers = PlatformHeaders.create().callerHeaders({
+  const headers = PlatformHeaderCodec.create().callerHeaders({
     id: `ends-${randomUUID()}`,
     timeout: 2_000,
     key: variant * 1_000,
--- a/test/support/caller_connection.ts
+++ b/test/support/caller_connection.ts
@@ -5,7 +5,7 @@
  */
 import { connect, type Socket } from "node:net";
 import type { ExecutionContext } from "ava";
-import { PlatformHeaders } from "../../platform/index.ts";
+import { PlatformHeaderCodec } from "../../platform/index.ts";
 import type { CallerLimits } from "../../src/core/catalog/index.ts";
 import type { UntimedEvent } from "../../src/core/entry_event.ts";
 import { CallerServer } from "../../src/runtime/caller_server.ts";
@@ -33,7 +33,7 @@
   const occurrences: UntimedEvent[] = [];
   const lag = LoopLag.create();
   const server = CallerServer.create(
-    PlatformHeaders.create(),
+    PlatformHeaderCodec.create(),
     { push: (each) => void occurrences.push(each) },
     { recordResponse: () => {} },
     lag,
--- a/test/support/deployment.ts
+++ b/test/support/deployment.ts
@@ -17,7 +17,7 @@
 import { setTimeout as delay } from "node:timers/promises";
 import { request } from "undici";
 import { stringify } from "yaml";
-import { PlatformHeaders, PlatformStore } from "../../platform/index.ts";
+import { PlatformHeaderCodec, PlatformStore } from "../../platform/index.ts";
 import {
   declarationSchema,
   siteConfiguration,
@@ -181,7 +181,7 @@
   plan(service: "stock" | "orders", overrides: Partial<LoadPlan>): LoadPlan {
     return {
       targets: this.entries.map((entry) => entry.address),
-      codec: PlatformHeaders.create(),
+      codec: PlatformHeaderCodec.create(),
       host: HOST,
       service,
       path: `/${service}/x`,
--- a/test/support/entry_in_process.ts
+++ b/test/support/entry_in_process.ts
@@ -9,8 +9,8 @@
 import { PassThrough } from "node:stream";
 import type { ExecutionContext } from "ava";
 import {
-  PlatformHeaders,
-  PlatformOrders,
+  PlatformHeaderCodec,
+  PlatformOrderSender,
   PlatformStore,
 } from "../../platform/index.ts";
 import { EntryProcess } from "../../src/runtime/entry_process.ts";
@@ -54,8 +54,8 @@
   output.on("data", (chunk) => lines += String(chunk));
   const platform = {
     store: PlatformStore.create(store, "vm-1", peer),
-    headers: PlatformHeaders.create(),
-    orders: PlatformOrders.create(),
+    headers: PlatformHeaderCodec.create(),
+    orders: PlatformOrderSender.create(),
   };
   const entry = await EntryProcess.start(settings, platform, output, 1);
   t.teardown(() => {
--- a/tools/generate_code_cache.ts
+++ b/tools/generate_code_cache.ts
@@ -37,7 +37,7 @@
   const program = CompiledProgram.load(folder);
   process.argv.splice(2, Infinity, "serve", "--settings", settings);
   process.once("exit", () => {
-    program.writeCode();
+    program.writeCodeCache();
     rmSync(scratch, { recursive: true });
   });
   setTimeout(() => process.kill(process.pid, "SIGTERM"), START_DURATION);
