--- a/bench/idle_cost.ts
+++ b/bench/idle_cost.ts
@@ -5,7 +5,7 @@
  */
 import { setTimeout as delay } from "node:timers/promises";
 import { request } from "undici";
-import { Deployment, type Member } from "../test/support/deployment.ts";
+import { Deployment, type DeployedProcess } from "../test/support/deployment.ts";
 import { printMeasurement } from "./figure.ts";
 
 const ENTRIES = 4;
@@ -49,7 +49,7 @@
   }
 }
 
-async function readGauges(entry: Member) {
+async function readGauges(entry: DeployedProcess) {
   const { body } = await request(`http://${entry.admin}/metrics`);
   const text = await body.text();
   const gauge = (name: string) =>
--- a/src/runtime/caller_accept_test.ts
+++ b/src/runtime/caller_accept_test.ts
@@ -15,7 +15,7 @@
 // In a separate file, since other tests delay the loop, which hides the
 // failure.
 test("caller server: does not forward requests of callers that disconnected before they were accepted", async (t) => {
-  const { socket, occurrences } = await connectCaller(t, {
+  const { socket, events: occurrences } = await connectCaller(t, {
     maximumHeaderBytes: 400,
     maximumBodyBytes: 10,
     headerTimeout: 1_000,
--- a/src/runtime/caller_close_test.ts
+++ b/src/runtime/caller_close_test.ts
@@ -28,7 +28,7 @@
     headerTimeout: 5_000,
     idleTimeout: 5_000,
   });
-  const { server, socket, occurrences } = caller;
+  const { server, socket, events: occurrences } = caller;
   socket.on("error", () => {});
   const count = (kind: string) =>
     occurrences.filter((each) => each.kind === kind).length;
--- a/src/runtime/caller_order_test.ts
+++ b/src/runtime/caller_order_test.ts
@@ -23,7 +23,7 @@
 const PAUSE = 50;
 
 async function start(t: ExecutionContext) {
-  const { server, socket, occurrences, read } = await connectCaller(t, {
+  const { server, socket, events: occurrences, read } = await connectCaller(t, {
     maximumHeaderBytes: 16_000,
     maximumBodyBytes: 1_000,
     headerTimeout: HEADER_TIMEOUT,
--- a/src/runtime/caller_server_test.ts
+++ b/src/runtime/caller_server_test.ts
@@ -14,7 +14,7 @@
     headerTimeout: 1_000,
     idleTimeout: 5_000,
   });
-  const { server, socket, occurrences, read, connectFrom } = connection;
+  const { server, socket, events: occurrences, read, connectFrom } = connection;
   const waitUntil = async (isMet: () => boolean) => {
     const end = Date.now() + TIMEOUT;
     while (!isMet()) {
--- a/src/runtime/raw_callers_test.ts
+++ b/src/runtime/raw_callers_test.ts
@@ -13,7 +13,7 @@
  * paths that were accepted as requests, and whether the connection was closed.
  */
 async function send(t: ExecutionContext, text: string) {
-  const { socket, occurrences, read } = await connectCaller(t, {
+  const { socket, events: occurrences, read } = await connectCaller(t, {
     maximumHeaderBytes: 16_000,
     maximumBodyBytes: 1_000,
     headerTimeout: HEADER_TIMEOUT,
--- a/test/ending_request_test.ts
+++ b/test/ending_request_test.ts
@@ -18,7 +18,7 @@
   crashingPath,
   Deployment,
   HOST,
-  type Member,
+  type DeployedProcess,
 } from "./support/deployment.ts";
 
 /** Maximum runs after all VMs have received the report of the last allowed crash. */
@@ -43,7 +43,7 @@
 
 /** Replaces servers that have ended, until it is stopped. */
 class Supervisor {
-  readonly servers: Member[];
+  readonly servers: DeployedProcess[];
   #isStopped = false;
 
   private constructor(private readonly deployment: Deployment) {
@@ -59,11 +59,11 @@
     this.#isStopped = true;
   }
 
-  #watch(server: Member): void {
+  #watch(server: DeployedProcess): void {
     server.process.once("exit", () => void this.#replace(server));
   }
 
-  async #replace({ name, address }: Member): Promise<void> {
+  async #replace({ name, address }: DeployedProcess): Promise<void> {
     await delay(RESTART_DELAY);
     if (this.#isStopped) return;
     const service = name.split("-")[0];
@@ -111,7 +111,7 @@
 /** Returns the runs of the crashing request, sorted by start time. */
 function crashingRuns(
   deployment: Deployment,
-  servers: readonly Member[],
+  servers: readonly DeployedProcess[],
 ): Run[] {
   return servers.flatMap((each) => deployment.runs(each))
     .filter(({ requestId }) => CRASHING_ID.test(requestId))
--- a/test/soak/soak_run.ts
+++ b/test/soak/soak_run.ts
@@ -20,7 +20,7 @@
   crashingPath,
   Deployment,
   HOST,
-  type Member,
+  type DeployedProcess,
 } from "../support/deployment.ts";
 import { LoopbackProxy } from "./loopback_proxy.ts";
 import type { SoakFault, SoakPlan } from "./soak_plan.ts";
@@ -66,7 +66,7 @@
   readonly #configurationVersions = new Map<string, number>();
   readonly #breaches: string[] = [];
   readonly #activeFaults: Promise<void>[] = [];
-  readonly #faultyProcesses = new Set<Member>();
+  readonly #faultyProcesses = new Set<DeployedProcess>();
   #deployment!: Deployment;
   #publishedVersion = 1;
   #lastPublication: Promise<void> = Promise.resolve();
@@ -161,7 +161,7 @@
     }
   }
 
-  async #checkEntry(entry: Member): Promise<void> {
+  async #checkEntry(entry: DeployedProcess): Promise<void> {
     const processName = `${entry.name}/${entry.process.pid}`;
     const signal = AbortSignal.timeout(CHECK_INTERVAL);
     const isReady = await request(`http://${entry.readiness}/-/readyz`, {
@@ -233,7 +233,7 @@
    * example, does not handle requests that set faults.
    */
   async #exclusively(
-    target: Member,
+    target: DeployedProcess,
     injectFault: () => Promise<void>,
   ): Promise<void> {
     if (this.#faultyProcesses.has(target)) return;
@@ -243,7 +243,7 @@
   }
 
   async #injectEntryFault(
-    entry: Member,
+    entry: DeployedProcess,
     action: string,
     { duration }: SoakFault,
   ): Promise<void> {
@@ -260,7 +260,7 @@
     await this.#waitUntilReady(entry);
   }
 
-  async #waitUntilReady(entry: Member): Promise<void> {
+  async #waitUntilReady(entry: DeployedProcess): Promise<void> {
     const end = Date.now() + RECOVERY_TIMEOUT;
     while (Date.now() < end) {
       const status = await this.#deployment.status(entry);
@@ -270,7 +270,7 @@
   }
 
   async #injectServerFault(
-    server: Member,
+    server: DeployedProcess,
     action: string,
     { duration }: SoakFault,
   ): Promise<void> {
@@ -304,7 +304,7 @@
   }
 
   /** Starts a server as a replacement of one that has ended. */
-  #replace(server: Member): void {
+  #replace(server: DeployedProcess): void {
     const { servers } = this.#deployment;
     this.#serverCount += 1;
     const service = server.name.split("-")[0];
@@ -341,7 +341,7 @@
   }
 
   /** Servers that have ended. Their runs are part of the history. */
-  readonly #terminatedServers: Member[] = [];
+  readonly #terminatedServers: DeployedProcess[] = [];
 
   async #injectStoreFault(
     store: string,
@@ -379,7 +379,7 @@
   async #waitUntilRecovered(): Promise<void> {
     const { entries, servers } = this.#deployment;
     const end = Date.now() + RECOVERY_TIMEOUT;
-    const hasRecovered = async (entry: Member) => {
+    const hasRecovered = async (entry: DeployedProcess) => {
       const ids = servers.map(({ name }) => name).sort().join();
       const status = await this.#deployment.status(entry);
       const known = status?.servers.filter((each) => !each.isDraining)
@@ -402,7 +402,7 @@
     }
   }
 
-  async #reportUnrecovered(entry: Member): Promise<void> {
+  async #reportUnrecovered(entry: DeployedProcess): Promise<void> {
     const text = JSON.stringify(await this.#deployment.status(entry));
     this.#breaches.push(`${entry.name} has not recovered: ${text}`);
   }
@@ -469,7 +469,7 @@
 }
 
 async function pause(
-  child: Member["process"],
+  child: DeployedProcess["process"],
   duration: number,
 ): Promise<void> {
   child.kill("SIGSTOP");
--- a/test/support/caller_connection.ts
+++ b/test/support/caller_connection.ts
@@ -18,7 +18,7 @@
   server: CallerServer;
   socket: Socket;
   /** Events that the server passed to its event loop. */
-  occurrences: UntimedEvent[];
+  events: UntimedEvent[];
   /** Returns the text received on the connection so far. */
   read(): string;
   /** Opens another connection from `localAddress`. */
@@ -55,5 +55,5 @@
     t.teardown(() => other.destroy());
     return other;
   };
-  return { server, socket, occurrences, read: () => text, connectFrom };
+  return { server, socket, events: occurrences, read: () => text, connectFrom };
 }
--- a/test/support/deployment.ts
+++ b/test/support/deployment.ts
@@ -44,7 +44,7 @@
 const SIGNAL_DELAY = 60;
 
 /** A process of the system. */
-export interface Member {
+export interface DeployedProcess {
   name: string;
   process: ChildProcess;
   /** Command line arguments before the settings. */
@@ -74,8 +74,8 @@
 
 /** A running system. */
 export class Deployment {
-  readonly entries: Member[] = [];
-  readonly servers: Member[] = [];
+  readonly entries: DeployedProcess[] = [];
+  readonly servers: DeployedProcess[] = [];
 
   private constructor(
     readonly folder: string,
@@ -139,7 +139,7 @@
     service: string,
     id: string,
     address: string = loopbackAddress(),
-  ): Member {
+  ): DeployedProcess {
     return this.#spawn(id, { address }, ["stand-in", "backend"], {
       id,
       service,
@@ -155,7 +155,7 @@
   }
 
   /** Starts an entry whose seeds are the entries started so far. */
-  startEntry(vm: string): Member {
+  startEntry(vm: string): DeployedProcess {
     const [listen, readiness, peer, admin] = Array.from(
       { length: 4 },
       () => loopbackAddress(),
@@ -213,7 +213,7 @@
   }
 
   /** Returns the status of an entry, or null if it does not respond. */
-  async status(entry: Member): Promise<EntryStatus | null> {
+  async status(entry: DeployedProcess): Promise<EntryStatus | null> {
     try {
       const { body } = await request(`http://${entry.admin}/status`);
       return await body.json() as EntryStatus;
@@ -223,7 +223,7 @@
   }
 
   /** Returns the entry that holds the term. */
-  async holder(): Promise<Member> {
+  async holder(): Promise<DeployedProcess> {
     for (const entry of this.entries) {
       const status = await this.status(entry);
       if (status?.term.phase === "leading") return entry;
@@ -232,14 +232,14 @@
   }
 
   /** Returns the requests that a server has run, including those before it was killed. */
-  runs(server: Member): Run[] {
+  runs(server: DeployedProcess): Run[] {
     return readLines(server.runsFile).map((line) =>
       runSchema.parse(JSON.parse(line))
     );
   }
 
   /** Returns the log lines of an entry. */
-  logOf(entry: Member): Record<string, unknown>[] {
+  logOf(entry: DeployedProcess): Record<string, unknown>[] {
     return readLines(entry.logFile).map((line) => JSON.parse(line));
   }
 
@@ -261,10 +261,10 @@
 
   #spawn(
     name: string,
-    addresses: Partial<Member> & { address: string },
+    addresses: Partial<DeployedProcess> & { address: string },
     command: string[],
     settings: object,
-  ): Member {
+  ): DeployedProcess {
     const file = join(this.folder, `${name}.yaml`);
     const logFile = join(this.folder, `${name}.log`);
     writeFileSync(file, stringify(settings));
@@ -301,7 +301,7 @@
   }
 
   /** Suspends the machine of an entry: the process and its monotonic clock stop. */
-  async suspend({ process: child }: Member, duration: number): Promise<void> {
+  async suspend({ process: child }: DeployedProcess, duration: number): Promise<void> {
     child.kill("SIGUSR2");
     await delay(SIGNAL_DELAY);
     child.kill("SIGSTOP");
@@ -310,7 +310,7 @@
   }
 
   /** Restarts a process that has ended, with its previous settings. */
-  restart(target: Member): void {
+  restart(target: DeployedProcess): void {
     const { command, settingsFile, logFile } = target;
     target.process = this.#start(command, settingsFile, logFile);
   }
