--- a/bench/idle_cost.ts
+++ b/bench/idle_cost.ts
@@ -5,7 +5,10 @@
  */
 import { setTimeout as delay } from "node:timers/promises";
 import { request } from "undici";
-import { Deployment, type DeployedProcess } from "../test/support/deployment.ts";
+import {
+  type DeployedProcess,
+  Deployment,
+} from "../test/support/deployment.ts";
 import { printMeasurement } from "./figure.ts";
 
 const ENTRIES = 4;
--- a/bench/quarantine.ts
+++ b/bench/quarantine.ts
@@ -53,7 +53,12 @@
       },
     },
   });
-  const { serverCrashTimes: serverEnds, quarantinedAt: heldBackAt, quarantineMessages, load } = report;
+  const {
+    serverCrashTimes: serverEnds,
+    quarantinedAt: heldBackAt,
+    quarantineMessages,
+    load,
+  } = report;
   const conditions = { vms };
   const lastQuarantined = Math.max(...heldBackAt.values());
   const print = (name: string, value: number, unit: string) =>
--- a/bench/scaling.ts
+++ b/bench/scaling.ts
@@ -104,7 +104,12 @@
   const { entry, step } = createEntry(servers, isKeyed);
   for (let i = 0; i < crashRecords; i++) {
     const { complete: whole } = fingerprintOf(`/accused/${i}`);
-    entry.clusterState.quarantine.recordCrash(whole, "h/accused", "server#1", 1_000);
+    entry.clusterState.quarantine.recordCrash(
+      whole,
+      "h/accused",
+      "server#1",
+      1_000,
+    );
   }
   let now = 1_000;
   const run = (count: number) => {
--- a/src/cli/demo_command.ts
+++ b/src/cli/demo_command.ts
@@ -120,5 +120,8 @@
 
 function callerHeaders(id: string, key: number): Record<string, string> {
   const fields = { id, timeout: CALLER_TIMEOUT, key };
-  return { host: DEMO_HOST, ...PlatformHeaderCodec.create().callerHeaders(fields) };
+  return {
+    host: DEMO_HOST,
+    ...PlatformHeaderCodec.create().callerHeaders(fields),
+  };
 }
--- a/src/core/beliefs.ts
+++ b/src/core/beliefs.ts
@@ -8,8 +8,8 @@
 import type { EntryEffect } from "./entry_effect.ts";
 import {
   type EvacuationChange,
-  type EvacuationSnapshot,
   type EvacuationRead,
+  type EvacuationSnapshot,
   Fleet,
   type FleetChange,
   type ServerRateLimit,
@@ -17,7 +17,11 @@
 } from "./fleet/index.ts";
 import { type Assignment, KeyDirectory, KeyLimits } from "./keyspace/index.ts";
 import type { HolderAddress, SenderState } from "./peers/index.ts";
-import { type CrashAttribution, CrashDetector, Quarantine } from "./quarantine/index.ts";
+import {
+  type CrashAttribution,
+  CrashDetector,
+  Quarantine,
+} from "./quarantine/index.ts";
 import { RegistryReplica } from "./registry/index.ts";
 
 /** Queues effects for the runtime to carry out. */
@@ -116,7 +120,10 @@
   }
 
   /** Logs the start or the end of a server's rate limit. */
-  logRateLimitChange({ server, change }: ServerRateLimitChange, now: number): void {
+  logRateLimitChange(
+    { server, change }: ServerRateLimitChange,
+    now: number,
+  ): void {
     this.logDecision(`server.${change}`, {
       server: server.id,
       service: server.entry.service,
--- a/src/core/dispatch/cold_admission_test.ts
+++ b/src/core/dispatch/cold_admission_test.ts
@@ -175,7 +175,11 @@
       availabilityZone: fleet.get("s")!.entry.availabilityZone,
       vms: 1,
       cold,
-      tokens: RateTokens.create({ requestToken: () => null }, () => 1, () => 0.5),
+      tokens: RateTokens.create(
+        { requestToken: () => null },
+        () => 1,
+        () => 0.5,
+      ),
       isUrgent: true,
       draw: () => 0.5,
     })!;
--- a/src/core/dispatch/dispatcher_test.ts
+++ b/src/core/dispatch/dispatcher_test.ts
@@ -149,7 +149,11 @@
 };
 const NOT_RUN = { ...ANSWERED, status: 503, isGenuine: false, isNotRun: true };
 const SPOILT = { ...ANSWERED, isGenuine: false };
-const LOST: AttemptOutcome = { kind: "failed", mayHaveBeenSent: true, cause: "reset" };
+const LOST: AttemptOutcome = {
+  kind: "failed",
+  mayHaveBeenSent: true,
+  cause: "reset",
+};
 const NOT_SENT: AttemptOutcome = {
   kind: "failed",
   mayHaveBeenSent: false,
@@ -589,9 +593,16 @@
     keyLimits: KeyLimits.create(),
     quarantine,
     crashes: CrashDetector.create(quarantine, () => {}),
-    permits: RunPermits.create({ requestPermit: () => null, release: () => {} }),
+    permits: RunPermits.create({
+      requestPermit: () => null,
+      release: () => {},
+    }),
     cold: ColdAdmission.create(catalog, () => null, () => 0),
-    tokens: RateTokens.create({ requestToken: () => null }, () => null, () => 0),
+    tokens: RateTokens.create(
+      { requestToken: () => null },
+      () => null,
+      () => 0,
+    ),
     availabilityZone: "a",
     retryLimits: { ratio: 0.2, windowSeconds: 10, minimum: 50 },
     startedAt: () => -Infinity,
--- a/src/core/dispatch/outcome_review.ts
+++ b/src/core/dispatch/outcome_review.ts
@@ -202,7 +202,9 @@
   #handleFailure(
     request: PendingRequest,
     attempt: Attempt,
-    { mayHaveBeenSent: wasSent, isConnectionRefused: isRefused, cause }: AttemptOutcome & { kind: "failed" },
+    { mayHaveBeenSent: wasSent, isConnectionRefused: isRefused, cause }:
+      & AttemptOutcome
+      & { kind: "failed" },
     now: number,
   ): NextStep {
     const server = this.context.fleet.get(attempt.server);
--- a/src/core/dispatch/retry_policy.ts
+++ b/src/core/dispatch/retry_policy.ts
@@ -42,7 +42,9 @@
     const { fingerprint } = request.arrival;
     if (request.isDeadlineUncertain) return false;
     // After two terminated servers only the caller may send the request again.
-    if (this.context.quarantine.crashCount(fingerprint) >= ENDS_TO_STOP_RETRIES) {
+    if (
+      this.context.quarantine.crashCount(fingerprint) >= ENDS_TO_STOP_RETRIES
+    ) {
       return false;
     }
     // A request with a key may have one more attempt, since they all go to one server.
--- a/src/core/dispatch/server_choice.ts
+++ b/src/core/dispatch/server_choice.ts
@@ -88,9 +88,9 @@
 ): TrackedServer | null {
   const { fleet, vms, cold, tokens } = context;
   const meanLatency = fleet.meanLatency(service, now);
-  const usable = sample(fleet.serversOf(service), context.draw).filter((server) =>
-    !server.isLeaving && !tried.includes(server.id)
-  );
+  const usable = sample(fleet.serversOf(service), context.draw).filter((
+    server,
+  ) => !server.isLeaving && !tried.includes(server.id));
   const healthy = usable.filter((server) =>
     !server.isPaused(now) && !server.isUnresponsive(now, meanLatency)
   );
--- a/src/core/entry.ts
+++ b/src/core/entry.ts
@@ -216,10 +216,14 @@
         );
       case "request.arrived":
         if (this.#shutdown.isRejectingRequests(now)) {
-          return this.#emit(...this.dispatcher.refuseWhileStopping(event.arrival));
+          return this.#emit(
+            ...this.dispatcher.refuseWhileStopping(event.arrival),
+          );
         }
         this.#recordKey(event.arrival, now);
-        return this.#emit(...this.dispatcher.requestArrived(event.arrival, now));
+        return this.#emit(
+          ...this.dispatcher.requestArrived(event.arrival, now),
+        );
       case "request.late": {
         const { id: request, timeout, age } = event;
         const detail = { request, timeout, age };
@@ -231,7 +235,9 @@
         });
       }
       case "request.left":
-        return this.#emit(...this.dispatcher.callerDisconnected(event.exchange, now));
+        return this.#emit(
+          ...this.dispatcher.callerDisconnected(event.exchange, now),
+        );
       case "attempt.ended":
         return this.#emit(
           ...this.dispatcher.attemptEnded(event.attempt, event.outcome, now),
--- a/src/core/entry_test.ts
+++ b/src/core/entry_test.ts
@@ -216,7 +216,10 @@
   t.is(fetches(step(0, { kind: "timer" })), 1);
   step(10, { kind: "store.answered", sentAt: 0 });
   step(10, { kind: "servers.read", read, sentAt: 0 });
-  const registryUpdate = (knownAt: number, removed: string[]): UntimedEvent => ({
+  const registryUpdate = (
+    knownAt: number,
+    removed: string[],
+  ): UntimedEvent => ({
     kind: "peer.received",
     address: "holder",
     message: {
--- a/src/core/exchange/crowding_watch.ts
+++ b/src/core/exchange/crowding_watch.ts
@@ -7,10 +7,10 @@
  */
 import type { ClusterState } from "../beliefs.ts";
 import {
+  computeKeyLimits,
   DEMAND_WINDOW,
   type KeyLimit,
   type KeyLoads,
-  computeKeyLimits,
   type TermHolder,
 } from "../keyspace/index.ts";
 import { MAXIMUM_RATES, type OverloadState } from "../peers/index.ts";
--- a/src/core/exchange/peer_exchange.ts
+++ b/src/core/exchange/peer_exchange.ts
@@ -15,10 +15,10 @@
   FollowerLink,
   type HolderAddress,
   type HolderState,
-  type SenderState,
   MAXIMUM_RATES,
   type MessageOf,
   type PeerMessage,
+  type SenderState,
   VmCount,
 } from "../peers/index.ts";
 import { ConfigurationWatch } from "./configuration_watch.ts";
@@ -355,7 +355,10 @@
   /** Rate limits to include in the report, if one is due. */
   #takeRates(now: number): ServerRateLimit[] {
     if (!this.followerLink.isReportDue(now)) return [];
-    return this.clusterState.fleet.takeUnsentRateLimits(now).slice(0, MAXIMUM_RATES);
+    return this.clusterState.fleet.takeUnsentRateLimits(now).slice(
+      0,
+      MAXIMUM_RATES,
+    );
   }
 
   #applyRegistry(update: RegistryUpdate | null, now: number): void {
@@ -451,7 +454,10 @@
   ): void {
     const exposures = this.campaign.yieldTo(term, formerTerm, now);
     if (exposures === null) return;
-    this.clusterState.logDecision("term.yielded", { term: formerTerm, toTerm: term });
+    this.clusterState.logDecision("term.yielded", {
+      term: formerTerm,
+      toTerm: term,
+    });
     this.#send(address, {
       kind: "term.yielded",
       ...this.clusterState.senderState(),
--- a/src/core/exchange/state_exchange.ts
+++ b/src/core/exchange/state_exchange.ts
@@ -93,7 +93,10 @@
     if (!this.store.isLost && clusterState.catalog.isKnown) return null;
     const { configuration, servers, assignments, holder } = state;
     if (configuration !== undefined) clusterState.configure(configuration);
-    clusterState.applyServerChanges(clusterState.fleet.applyPeerEntries(servers, now), now);
+    clusterState.applyServerChanges(
+      clusterState.fleet.applyPeerEntries(servers, now),
+      now,
+    );
     clusterState.assign(assignments);
     return holder;
   }
--- a/src/core/exchange/term_publication_test.ts
+++ b/src/core/exchange/term_publication_test.ts
@@ -60,7 +60,11 @@
     for (const effect of holder.advance(["s"], now, Infinity, 0, true)) {
       if (effect.kind === "assignments.write") holder.record.confirm();
       else if ("order" in effect) {
-        holder.onOrderEnded(effect.order, { kind: "accepted", handover: null }, now);
+        holder.onOrderEnded(
+          effect.order,
+          { kind: "accepted", handover: null },
+          now,
+        );
       }
     }
   };
--- a/src/core/fleet/evacuations_test.ts
+++ b/src/core/fleet/evacuations_test.ts
@@ -44,5 +44,8 @@
   follower.applySnapshot(reader.snapshot!);
   t.deepEqual(follower.applySnapshot(late), { evacuated: [], restored: [] });
   t.false(follower.has("a"));
-  t.deepEqual(reader.applyRead(read(8, ["a"])), { evacuated: [], restored: [] });
+  t.deepEqual(reader.applyRead(read(8, ["a"])), {
+    evacuated: [],
+    restored: [],
+  });
 });
--- a/src/core/fleet/fleet.ts
+++ b/src/core/fleet/fleet.ts
@@ -89,7 +89,10 @@
   }
 
   /** Applies evacuations that started or ended. */
-  applyEvacuations({ evacuated, restored }: EvacuationChange, now: number): void {
+  applyEvacuations(
+    { evacuated, restored }: EvacuationChange,
+    now: number,
+  ): void {
     for (const server of this.#servers.values()) {
       const { availabilityZone } = server.entry;
       if (evacuated.includes(availabilityZone)) server.setEvacuated(true, now);
@@ -122,7 +125,10 @@
    * pending removal therefore stays pending, and a server that was not listed has to be
    * confirmed by {@linkcode confirmPeerEntries}.
    */
-  applyPeerEntries(entries: readonly BackendServer[], now: number): FleetChange[] {
+  applyPeerEntries(
+    entries: readonly BackendServer[],
+    now: number,
+  ): FleetChange[] {
     const isSameIncarnation = ({ id, incarnation }: BackendServer) =>
       (this.get(id)?.entry.incarnation ?? incarnation) === incarnation;
     const usable = entries.filter((entry) =>
@@ -218,7 +224,10 @@
   }
 
   /** Applies rate limits that servers reported to other VMs; returns the changes. */
-  applyPeerRateLimits(rates: readonly ServerRateLimit[], now: number): ServerRateLimitChange[] {
+  applyPeerRateLimits(
+    rates: readonly ServerRateLimit[],
+    now: number,
+  ): ServerRateLimitChange[] {
     return rates.flatMap(({ server: id, ...report }) => {
       const server = this.#servers.get(id);
       const change = server?.rateLimit.applyPeerReport(report, now) ?? null;
--- a/src/core/keyspace/key_limits_test.ts
+++ b/src/core/keyspace/key_limits_test.ts
@@ -7,7 +7,7 @@
 import { backendServer } from "../../../test/support/backend_server.ts";
 import { Fleet } from "../fleet/index.ts";
 import { vacantRange } from "./held_range.ts";
-import { KeyLimits, computeKeyLimits } from "./key_limits.ts";
+import { computeKeyLimits, KeyLimits } from "./key_limits.ts";
 
 const WINDOW = 1_000;
 /** Requests a second that a server can answer here: two slots, 100 ms each. */
@@ -24,7 +24,10 @@
   );
   fleet.apply(entries, [], 0);
   const samples = { mean: 100, count: 20 };
-  fleet.addPeerSamples(entries.map(({ id }) => ({ server: id, ...samples })), 0);
+  fleet.addPeerSamples(
+    entries.map(({ id }) => ({ server: id, ...samples })),
+    0,
+  );
   const ranges = [[0, 9, "a"], [10, 19, "a"], [20, 29, "b"]] as const;
   const heldRanges = ranges.map(([first, last, server]) => ({
     ...vacantRange({ first, last }, 0),
@@ -68,7 +71,10 @@
 
 test("key limits: they apply to their keys and expire without updates", (t) => {
   const keyLimits = KeyLimits.create();
-  keyLimits.replace([{ service: "s", first: 10, last: 19, share: 0.25 }], 1_000);
+  keyLimits.replace(
+    [{ service: "s", first: 10, last: 19, share: 0.25 }],
+    1_000,
+  );
   t.deepEqual(
     [9, 10, 19, 20].map((key) => keyLimits.admittedShare("s", key, 1_100)),
     [1, 0.25, 0.25, 1],
--- a/src/core/keyspace/key_rebalancer.ts
+++ b/src/core/keyspace/key_rebalancer.ts
@@ -122,7 +122,9 @@
     now: number,
   ): Candidate[] {
     const meanLatency = this.fleet.meanLatency(service, now);
-    const usable = this.fleet.serversOf(service).filter((each) => !each.isLeaving);
+    const usable = this.fleet.serversOf(service).filter((each) =>
+      !each.isLeaving
+    );
     const healthy = usable.filter((each) =>
       !suspects.has(each.id) && !each.isPaused(now) &&
       !each.isWarming(now) &&
--- a/src/core/keyspace/lease_timing.ts
+++ b/src/core/keyspace/lease_timing.ts
@@ -100,7 +100,10 @@
  * Returns the latest time at which the last lease can end that a term holder
  * fenced at `fencedAt` has granted.
  */
-export function predecessorGrantsEnd(fencedAt: number, timing: LeaseTiming): number {
+export function predecessorGrantsEnd(
+  fencedAt: number,
+  timing: LeaseTiming,
+): number {
   return unansweredGrantEnd(
     fencedAt + timing.authority,
     timing.longHold,
--- a/src/core/keyspace/term_campaign.ts
+++ b/src/core/keyspace/term_campaign.ts
@@ -16,7 +16,11 @@
 import type { Assignment } from "./assignment.ts";
 import { Candidacy } from "./candidacy.ts";
 import type { KeyLoads } from "./key_load.ts";
-import type { ElectionGroup, KeyspaceEffect, OrderOutcome } from "./keyspace_effect.ts";
+import type {
+  ElectionGroup,
+  KeyspaceEffect,
+  OrderOutcome,
+} from "./keyspace_effect.ts";
 import type { LeaseTiming } from "./lease_timing.ts";
 import type { OutstandingLease } from "./outstanding_lease.ts";
 import { TermHolder } from "./term_holder.ts";
@@ -232,7 +236,11 @@
   }
 
   /** Handles the outcome of a claim. */
-  onClaimed(term: number, outcome: WriteOutcome, now: number): KeyspaceEffect[] {
+  onClaimed(
+    term: number,
+    outcome: WriteOutcome,
+    now: number,
+  ): KeyspaceEffect[] {
     if (this.#phase.kind !== "claiming") return [];
     if (outcome !== "done") return this.#pause(now);
     const { records } = this.#phase;
@@ -260,7 +268,11 @@
   }
 
   /** Handles the outcome of a write of the term holder. */
-  onWritten(term: number, outcome: WriteOutcome, now: number): KeyspaceEffect[] {
+  onWritten(
+    term: number,
+    outcome: WriteOutcome,
+    now: number,
+  ): KeyspaceEffect[] {
     if (this.holder?.term !== term) return [];
     if (outcome === "superseded") return this.#pause(now);
     if (outcome === "done") this.holder.record.confirm();
@@ -269,7 +281,11 @@
   }
 
   /** Handles the outcome of an order. */
-  onOrderEnded(id: number, outcome: OrderOutcome, now: number): KeyspaceEffect[] {
+  onOrderEnded(
+    id: number,
+    outcome: OrderOutcome,
+    now: number,
+  ): KeyspaceEffect[] {
     const holder = this.holder;
     if (holder === null || holder.onOrderEnded(id, outcome, now)) return [];
     return this.#pause(now);
--- a/src/core/keyspace/term_campaign_test.ts
+++ b/src/core/keyspace/term_campaign_test.ts
@@ -58,7 +58,10 @@
   // fitter VM.
   campaign.onJoined({ ...membership, group: "observers", sentAt: 110 }, 114);
   t.deepEqual(advance(3_000), ["group.join observers"]);
-  campaign.onJoined({ ...membership, group: "observers", sentAt: 3_000 }, 3_004);
+  campaign.onJoined(
+    { ...membership, group: "observers", sentAt: 3_000 },
+    3_004,
+  );
   t.deepEqual(advance(3_200), ["group.join electorate"]);
 });
 
--- a/src/core/keyspace/term_holder.ts
+++ b/src/core/keyspace/term_holder.ts
@@ -153,7 +153,10 @@
    * Shortens the inherited leases to those that the previous term holder, which
    * sends no more orders, has reported as outstanding.
    */
-  applyOutstandingLeases(leases: readonly OutstandingLease[], now: number): void {
+  applyOutstandingLeases(
+    leases: readonly OutstandingLease[],
+    now: number,
+  ): void {
     for (const table of this.#tables.values()) {
       const own = leases.filter((each) => each.service === table.service);
       if (!coversAllKeys(own)) continue;
--- a/src/core/keyspace/term_holder_test.ts
+++ b/src/core/keyspace/term_holder_test.ts
@@ -55,7 +55,11 @@
   const accept = (effects: KeyspaceEffect[], now: number) => {
     for (const effect of effects) {
       if (!("order" in effect)) continue;
-      holder.onOrderEnded(effect.order, { kind: "accepted", handover: "h" }, now);
+      holder.onOrderEnded(
+        effect.order,
+        { kind: "accepted", handover: "h" },
+        now,
+      );
     }
   };
   /** Runs a move until its first release is answered, at 400. */
@@ -131,7 +135,11 @@
     for (const effect of holder.advance(["s"], now, Infinity, 0, true)) {
       if (effect.kind === "keys.move") moveTimes.push(now);
       if (effect.kind !== "order.grant") continue;
-      holder.onOrderEnded(effect.order, { kind: "accepted", handover: null }, now);
+      holder.onOrderEnded(
+        effect.order,
+        { kind: "accepted", handover: null },
+        now,
+      );
       acceptTimes.push(now);
     }
   }
--- a/src/core/peers/follower_link.ts
+++ b/src/core/peers/follower_link.ts
@@ -10,7 +10,7 @@
  * @module
  */
 import type { ServerRateLimit, ServerSamples } from "../fleet/index.ts";
-import type { FollowerReport, SenderState, PeerSend } from "./peer_message.ts";
+import type { FollowerReport, PeerSend, SenderState } from "./peer_message.ts";
 
 /** Time between two reports, in milliseconds. It limits how soon a busy key is noticed
  * and how old the registry data received from the holder can be. With half of it, busy
--- a/src/core/peers/holder_link.ts
+++ b/src/core/peers/holder_link.ts
@@ -10,10 +10,10 @@
 import type {
   HolderAddress,
   HolderState,
-  SenderState,
   MessageOf,
   PeerMessage,
   PeerSend,
+  SenderState,
 } from "./peer_message.ts";
 import { compactAssignment } from "./compact_assignment.ts";
 
@@ -162,13 +162,19 @@
   }
 
   /** Sends changes of the registry to all followers. */
-  publishRegistry(senderState: SenderState, registry: RegistryUpdate): PeerSend[] {
+  publishRegistry(
+    senderState: SenderState,
+    registry: RegistryUpdate,
+  ): PeerSend[] {
     return this.#sendToAll({ kind: "servers.told", ...senderState, registry });
   }
 
   /** Sends the address of the new term holder to the followers that receive store
    * updates from this VM, and forgets all followers. */
-  announceSuccessor(senderState: SenderState, holder: HolderAddress): PeerSend[] {
+  announceSuccessor(
+    senderState: SenderState,
+    holder: HolderAddress,
+  ): PeerSend[] {
     const message: PeerMessage = {
       kind: "holder.changed",
       ...senderState,
--- a/src/core/peers/peer_message.ts
+++ b/src/core/peers/peer_message.ts
@@ -12,8 +12,8 @@
 } from "../fleet/index.ts";
 import {
   assignmentSchema,
-  outstandingLeaseSchema,
   keyLimitSchema,
+  outstandingLeaseSchema,
 } from "../keyspace/index.ts";
 import { crashRecordSchema, permitAnswerSchema } from "../quarantine/index.ts";
 import { tokenAnswerSchema } from "../rates/index.ts";
@@ -107,7 +107,9 @@
 
 /** Rate limits reported by servers. Absent in messages of older versions. A holder that
  * includes them, even if empty, supports token requests. */
-const ratesSchema = z.array(rateLimitReportSchema.extend({ server: z.string() }))
+const ratesSchema = z.array(
+  rateLimitReportSchema.extend({ server: z.string() }),
+)
   .max(MAXIMUM_RATES).optional();
 
 /** A follower's report to the term holder on the keys that were requested recently. */
--- a/src/core/peers/state_request.ts
+++ b/src/core/peers/state_request.ts
@@ -4,7 +4,11 @@
  *
  * @module
  */
-import type { SenderState, PeerSend, QuarantineUpdate } from "./peer_message.ts";
+import type {
+  PeerSend,
+  QuarantineUpdate,
+  SenderState,
+} from "./peer_message.ts";
 
 /** Time between two rounds of requests, in milliseconds. A process cannot serve
  * requests until it has a configuration; one that only falls behind can wait longer. */
--- a/src/core/quarantine/quarantine.ts
+++ b/src/core/quarantine/quarantine.ts
@@ -92,7 +92,12 @@
 
   /** Records that a run of a server crashed under a request; returns whether that was not
    * known before. */
-  recordCrash(request: string, target: string, run: string, now: number): boolean {
+  recordCrash(
+    request: string,
+    target: string,
+    run: string,
+    now: number,
+  ): boolean {
     const crashes = this.#records.get(request) ??
       this.#add(newCrashes(request, target, 0, now));
     const isKnown = crashes.runs.includes(run) || crashes.excused.includes(run);
--- a/src/core/quarantine/run_permits.ts
+++ b/src/core/quarantine/run_permits.ts
@@ -41,7 +41,11 @@
   /** Requests a permit for a request by its complete fingerprint. Returns the answer if
    * it is available at once, or null if it will be passed to
    * {@linkcode RunPermits.applyAnswer}. */
-  requestPermit(request: string, duration: number, now: number): PermitAnswer | null;
+  requestPermit(
+    request: string,
+    duration: number,
+    now: number,
+  ): PermitAnswer | null;
   /** Releases a permit before it expires; `hasEnded` if the server crashed under the
    * copy. */
   release(request: string, hasEnded: boolean): void;
--- a/src/core/quarantine/run_permits_test.ts
+++ b/src/core/quarantine/run_permits_test.ts
@@ -18,8 +18,7 @@
   return RunPermits.create({
     requestPermit: (request, duration, now) =>
       issuer.issue(request, address, duration, now),
-    release: (request, hasEnded) =>
-      issuer.released(request, address, hasEnded),
+    release: (request, hasEnded) => issuer.released(request, address, hasEnded),
   });
 }
 
--- a/src/core/rates/rate_tokens.ts
+++ b/src/core/rates/rate_tokens.ts
@@ -159,7 +159,11 @@
   }
 
   /** Applies the term holder's answer to a token request. */
-  applyAnswer(server: string, { isGranted, left }: TokenAnswer, now: number): void {
+  applyAnswer(
+    server: string,
+    { isGranted, left }: TokenAnswer,
+    now: number,
+  ): void {
     const state = this.#states.get(server);
     if (state?.kind !== "asked") return;
     const { isUrgent } = state;
--- a/src/core/registry/registry_replica_test.ts
+++ b/src/core/registry/registry_replica_test.ts
@@ -74,7 +74,10 @@
   const reader = replicaOf(10, [cold]);
   reader.applyRead(read(11, [{ ...cold, warmUp: 100 }]), 450);
   reader.applyRead(read(12, [{ ...cold, warmUp: 1_700 }]), 450);
-  t.deepEqual(reader.updateSince(10, 440)!.entries, [{ ...cold, warmUp: 1_700 }]);
+  t.deepEqual(reader.updateSince(10, 440)!.entries, [{
+    ...cold,
+    warmUp: 1_700,
+  }]);
 });
 
 test("registry: rejects an update that starts after the replica's position", (t) => {
@@ -84,7 +87,10 @@
   reader.applyRead(read(12, [server("b")]), 450);
   t.is(behind.applyUpdate(reader.updateSince(10, 440)!), null);
   t.is(behind.knownAt, 0);
-  t.is(RegistryReplica.create().applyUpdate(reader.updateSince(10, 440)!), null);
+  t.is(
+    RegistryReplica.create().applyUpdate(reader.updateSince(10, 440)!),
+    null,
+  );
 });
 
 test("registry: is read when the replica is too old, and again after a failure", (t) => {
@@ -135,7 +141,9 @@
   const follower = replicaOf(10, [older]);
   const lateUpdate = reader.updateSince(10, 90)!;
   reader.applyRead(read(12, [newer]), 100);
-  t.deepEqual(follower.applyUpdate(reader.updateSince(10, 90)!)?.entries, [newer]);
+  t.deepEqual(follower.applyUpdate(reader.updateSince(10, 90)!)?.entries, [
+    newer,
+  ]);
   t.deepEqual(follower.applyUpdate(lateUpdate)?.entries, []);
   t.false(follower.applyRead(read(11, [older]), 80));
   t.false(follower.applyRead(read(11, [older], [], true), 80));
@@ -183,7 +191,9 @@
   t.deepEqual(follower.updateSince(10, null)?.unreadable, ["a"]);
   reader.applyRead(read(14, [server("a")]), 200);
   t.deepEqual(reader.updateSince(12, 190)?.entries, [server("a")]);
-  t.deepEqual(follower.applyUpdate(reader.updateSince(12, 190)!)?.entries, [server("a")]);
+  t.deepEqual(follower.applyUpdate(reader.updateSince(12, 190)!)?.entries, [
+    server("a"),
+  ]);
   reader.applyRead(read(16, [server("b")], [], true, ["a"]), 300);
   t.deepEqual(reader.updateSince(16, 290)?.unreadable, []);
   reader.applyRead(read(18, [], ["a"]), 400);
--- a/src/logging/story.ts
+++ b/src/logging/story.ts
@@ -26,7 +26,10 @@
  * Collects the log lines of the request `id` in order of time. Ignores lines that are
  * truncated, not JSON or about another request.
  */
-export function traceRequest(id: string, lines: Iterable<string>): RequestTrace {
+export function traceRequest(
+  id: string,
+  lines: Iterable<string>,
+): RequestTrace {
   const matches: TraceLine[] = [];
   for (const line of lines) {
     if (!line.includes(id)) continue;
--- a/src/runtime/backend_pool.ts
+++ b/src/runtime/backend_pool.ts
@@ -19,7 +19,7 @@
 import type { ServerProbe } from "../core/quarantine/index.ts";
 import { errorText } from "../errors/index.ts";
 import { parseAddress } from "../settings/address.ts";
-import type { ResponseMetadata, HeaderCodec } from "./header_codec.ts";
+import type { HeaderCodec, ResponseMetadata } from "./header_codec.ts";
 import type { EventSink } from "./entry_loop.ts";
 import { limitConnectTime } from "./http_client.ts";
 
@@ -138,7 +138,11 @@
       this.sink.push({
         kind: "attempt.ended",
         attempt: start.attempt,
-        outcome: { kind: "failed", mayHaveBeenSent: false, cause: errorText(error) },
+        outcome: {
+          kind: "failed",
+          mayHaveBeenSent: false,
+          cause: errorText(error),
+        },
       });
     }
   }
@@ -375,7 +379,12 @@
     this.sink.push({
       kind: "attempt.ended",
       attempt,
-      outcome: { kind: "failed", mayHaveBeenSent: wasSent, isConnectionRefused: isRefused, cause },
+      outcome: {
+        kind: "failed",
+        mayHaveBeenSent: wasSent,
+        isConnectionRefused: isRefused,
+        cause,
+      },
     });
   }
 }
--- a/src/runtime/control_store.ts
+++ b/src/runtime/control_store.ts
@@ -7,7 +7,11 @@
  */
 import type { Configuration } from "../core/catalog/index.ts";
 import type { UntimedEvent } from "../core/entry_event.ts";
-import type { Assignment, ElectionGroup, TermRecords } from "../core/keyspace/index.ts";
+import type {
+  Assignment,
+  ElectionGroup,
+  TermRecords,
+} from "../core/keyspace/index.ts";
 import type { CrashRecord } from "../core/quarantine/index.ts";
 import type { RegistryRead } from "../core/registry/index.ts";
 
--- a/src/runtime/entry_process.ts
+++ b/src/runtime/entry_process.ts
@@ -7,7 +7,7 @@
 import type { Writable } from "node:stream";
 import { Entry } from "../core/entry.ts";
 import { describeEntry, type EntryStatus } from "../core/entry_status.ts";
-import { fitnessOf, capHoldTimes } from "../core/keyspace/index.ts";
+import { capHoldTimes, fitnessOf } from "../core/keyspace/index.ts";
 import { Logger } from "../logging/index.ts";
 import type { EntrySettings } from "../settings/index.ts";
 import { AdminServer } from "./admin_server.ts";
--- a/test/ending_request_test.ts
+++ b/test/ending_request_test.ts
@@ -16,9 +16,9 @@
 import { type Call, isServed, type Run, runLoad } from "../src/load/index.ts";
 import {
   crashingPath,
+  type DeployedProcess,
   Deployment,
   HOST,
-  type DeployedProcess,
 } from "./support/deployment.ts";
 
 /** Maximum runs after all VMs have received the report of the last allowed crash. */
--- a/test/other_writers_test.ts
+++ b/test/other_writers_test.ts
@@ -11,7 +11,7 @@
 import { StoreClient } from "../platform/store_client.ts";
 import { StoreError } from "../platform/store_error.ts";
 import { isServed, runLoad } from "../src/load/index.ts";
-import { Deployment, type DeployedProcess } from "./support/deployment.ts";
+import { type DeployedProcess, Deployment } from "./support/deployment.ts";
 
 /**
  * Time for which invalid entries are written, in milliseconds. It is longer than the
@@ -62,7 +62,10 @@
 }
 
 /** Returns the value of a counter of an entry, summed over all labels. */
-async function readCounter(entry: DeployedProcess, name: string): Promise<number> {
+async function readCounter(
+  entry: DeployedProcess,
+  name: string,
+): Promise<number> {
   const { body } = await request(`http://${entry.admin}/metrics`);
   const lines = (await body.text()).split("\n");
   return lines.filter((line) => line.startsWith(`plumloft_${name}`))
--- a/test/ownership/ending_request_test.ts
+++ b/test/ownership/ending_request_test.ts
@@ -14,7 +14,7 @@
   LoadOptions,
   RequestLoad,
 } from "./request_load.ts";
-import { type Fault, type SimulationReport, Simulation } from "./world.ts";
+import { type Fault, Simulation, type SimulationReport } from "./world.ts";
 
 /** Number of servers that a request may crash before it is quarantined. */
 const ALLOWED_CRASHES = 3;
@@ -76,7 +76,9 @@
 
 /** Counts the runs of the crashing request after the time that VMs may take to learn of
  * it. */
-function lateRuns({ serverCrashTimes: serverEnds, load }: SimulationReport): number {
+function lateRuns(
+  { serverCrashTimes: serverEnds, load }: SimulationReport,
+): number {
   const last = serverEnds[ALLOWED_CRASHES - 1] ?? Infinity;
   const isLate = ({ at }: { at: number }) => at > last + LEARNING_TIME;
   return load!.crashingRuns.filter(isLate).length;
--- a/test/ownership/ownership_test.ts
+++ b/test/ownership/ownership_test.ts
@@ -8,7 +8,7 @@
   staleHolderSchedules,
 } from "./schedule.ts";
 import type { LoadOptions } from "./request_load.ts";
-import { type SimulationOptions, Simulation } from "./world.ts";
+import { Simulation, type SimulationOptions } from "./world.ts";
 
 const SEED = 7;
 
--- a/test/ownership/request_load.ts
+++ b/test/ownership/request_load.ts
@@ -504,7 +504,11 @@
     this.#loads.delete(server);
     for (const request of [...this.#requests.values()]) {
       if (request.server !== server || request.isEnded) continue;
-      this.#end(request, { kind: "failed", mayHaveBeenSent: true, cause: "reset" });
+      this.#end(request, {
+        kind: "failed",
+        mayHaveBeenSent: true,
+        cause: "reset",
+      });
     }
   }
 
@@ -596,7 +600,12 @@
 }
 
 function notSent(): AttemptOutcome {
-  return { kind: "failed", mayHaveBeenSent: false, isConnectionRefused: true, cause: "refused" };
+  return {
+    kind: "failed",
+    mayHaveBeenSent: false,
+    isConnectionRefused: true,
+    cause: "refused",
+  };
 }
 
 function nameOf(vm: number, attempt: number | string): string {
--- a/test/ownership/world.ts
+++ b/test/ownership/world.ts
@@ -14,8 +14,8 @@
 import type { UntimedEvent } from "../../src/core/entry_event.ts";
 import type { BackendServer } from "../../src/core/fleet/index.ts";
 import {
-  type GrantOrder,
   type ElectionGroup,
+  type GrantOrder,
   type LeaseTiming,
   leaseTimingSchema,
   type OrderOutcome,
--- a/test/rate_limited_server_test.ts
+++ b/test/rate_limited_server_test.ts
@@ -8,7 +8,7 @@
 import { setTimeout as delay } from "node:timers/promises";
 import type { Call, Run } from "../src/load/index.ts";
 import { runLoad } from "../src/load/index.ts";
-import { Deployment, type DeployedProcess } from "./support/deployment.ts";
+import { type DeployedProcess, Deployment } from "./support/deployment.ts";
 
 /** Requests per second that the server permits. */
 const RATE_LIMIT = 2;
@@ -40,7 +40,10 @@
  * Returns the server of `service` that has run the most requests. A slower server may
  * get no requests without keys, and would then never report its limit.
  */
-function busiestServer(deployment: Deployment, service: string): DeployedProcess {
+function busiestServer(
+  deployment: Deployment,
+  service: string,
+): DeployedProcess {
   const servers = deployment.servers.filter(({ name }) =>
     name.startsWith(`${service}-`)
   );
--- a/test/soak/soak_run.ts
+++ b/test/soak/soak_run.ts
@@ -18,9 +18,9 @@
 import type { MutationName } from "../support/bundled_program.ts";
 import {
   crashingPath,
+  type DeployedProcess,
   Deployment,
   HOST,
-  type DeployedProcess,
 } from "../support/deployment.ts";
 import { LoopbackProxy } from "./loopback_proxy.ts";
 import type { SoakFault, SoakPlan } from "./soak_plan.ts";
--- a/test/support/deployment.ts
+++ b/test/support/deployment.ts
@@ -301,7 +301,10 @@
   }
 
   /** Suspends the machine of an entry: the process and its monotonic clock stop. */
-  async suspend({ process: child }: DeployedProcess, duration: number): Promise<void> {
+  async suspend(
+    { process: child }: DeployedProcess,
+    duration: number,
+  ): Promise<void> {
     child.kill("SIGUSR2");
     await delay(SIGNAL_DELAY);
     child.kill("SIGSTOP");
