--- a/bench/idle_cost.ts
+++ b/bench/idle_cost.ts
@@ -9,7 +9,7 @@
   type DeployedProcess,
   Deployment,
 } from "../test/support/deployment.ts";
-import { printMeasurement } from "./figure.ts";
+import { printMeasurement } from "./measurement.ts";
 
 const ENTRIES = 4;
 const SERVERS = 4;
--- a/bench/overhead.ts
+++ b/bench/overhead.ts
@@ -7,7 +7,7 @@
 import { request } from "undici";
 import { isServed, runLoad } from "../src/load/index.ts";
 import { Deployment } from "../test/support/deployment.ts";
-import { printMeasurement } from "./figure.ts";
+import { printMeasurement } from "./measurement.ts";
 
 const LOAD_SECONDS = 10;
 const CALLERS = 16;
--- a/bench/quarantine.ts
+++ b/bench/quarantine.ts
@@ -5,8 +5,8 @@
  * @module
  */
 import { encodeFrame } from "../src/runtime/frame.ts";
-import { Simulation } from "../test/ownership/world.ts";
-import { printMeasurement } from "./figure.ts";
+import { Simulation } from "../test/ownership/simulation.ts";
+import { printMeasurement } from "./measurement.ts";
 
 const VM_COUNTS = [11, 74, 195, 820];
 /** Number of VMs with the highest fitness, which are preferred as term holder. */
--- a/bench/scaling.ts
+++ b/bench/scaling.ts
@@ -20,7 +20,7 @@
 import { backendServer } from "../test/support/backend_server.ts";
 import { largeConfiguration } from "../test/support/large_configuration.ts";
 import { createSteppedEntry } from "../test/support/stepped_entry.ts";
-import { printMeasurement } from "./figure.ts";
+import { printMeasurement } from "./measurement.ts";
 
 const SERVER_COUNTS = [10, 100, 800];
 const REQUESTS = 20_000;
--- a/src/cli/explain_command.ts
+++ b/src/cli/explain_command.ts
@@ -6,7 +6,7 @@
 import { createReadStream } from "node:fs";
 import { createInterface } from "node:readline";
 import type { Argv } from "yargs";
-import { type TraceLine, traceRequest } from "../logging/story.ts";
+import { type TraceLine, traceRequest } from "../logging/request_trace.ts";
 
 /** File name that means standard input. */
 const STANDARD_INPUT = "-";
--- a/src/core/entry.ts
+++ b/src/core/entry.ts
@@ -6,7 +6,7 @@
  *
  * @module
  */
-import { ClusterState } from "./beliefs.ts";
+import { ClusterState } from "./cluster_state.ts";
 import { ColdAdmission, Dispatcher } from "./dispatch/index.ts";
 import type { RequestArrival } from "./dispatch/index.ts";
 import type { EntryEffect } from "./entry_effect.ts";
--- a/src/core/exchange/configuration_watch.ts
+++ b/src/core/exchange/configuration_watch.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import type { ClusterState, Emit } from "../beliefs.ts";
+import type { ClusterState, Emit } from "../cluster_state.ts";
 
 /** How long to wait for a newer configuration to arrive from the store or with the
  * term holder's next answer before fetching it, in milliseconds. */
--- a/src/core/exchange/crowding_watch.ts
+++ b/src/core/exchange/overload_monitor.ts
@@ -5,7 +5,7 @@
  *
  * @module
  */
-import type { ClusterState } from "../beliefs.ts";
+import type { ClusterState } from "../cluster_state.ts";
 import {
   computeKeyLimits,
   DEMAND_WINDOW,
--- a/src/core/exchange/peer_exchange.ts
+++ b/src/core/exchange/peer_exchange.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { ClusterState, Emit } from "../beliefs.ts";
+import type { ClusterState, Emit } from "../cluster_state.ts";
 import type {
   ServerRateLimit,
   ServerRateLimitChange,
@@ -31,7 +31,7 @@
   QuarantineExchange,
   type QuarantineSend,
 } from "./quarantine_exchange.ts";
-import { StatePublisher } from "./term_publication.ts";
+import { StatePublisher } from "./state_publisher.ts";
 
 /** Time between two calls of {@linkcode PeerExchange.advance} after which this process
  * is assumed to have been suspended, in milliseconds. Timers fire four times as
--- a/src/core/exchange/permit_exchange.ts
+++ b/src/core/exchange/permit_exchange.ts
@@ -7,7 +7,7 @@
  *
  * @module
  */
-import type { ClusterState, Emit } from "../beliefs.ts";
+import type { ClusterState, Emit } from "../cluster_state.ts";
 import type { MessageOf } from "../peers/index.ts";
 import {
   MAXIMUM_PERMIT,
--- a/src/core/exchange/permit_exchange_test.ts
+++ b/src/core/exchange/permit_exchange_test.ts
@@ -3,7 +3,7 @@
   deliver,
   messageCollector,
 } from "../../../test/support/peer_messages.ts";
-import { ClusterState } from "../beliefs.ts";
+import { ClusterState } from "../cluster_state.ts";
 import type { PeerSend } from "../peers/index.ts";
 import { MAXIMUM_PERMIT } from "../quarantine/index.ts";
 import { PermitExchange, type PermitMessage } from "./permit_exchange.ts";
--- a/src/core/exchange/state_exchange.ts
+++ b/src/core/exchange/state_exchange.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import type { ClusterState, Emit } from "../beliefs.ts";
+import type { ClusterState, Emit } from "../cluster_state.ts";
 import {
   type HolderAddress,
   type MessageOf,
--- a/src/core/exchange/term_publication.ts
+++ b/src/core/exchange/state_publisher.ts
@@ -8,8 +8,8 @@
  *
  * @module
  */
-import type { ClusterState, Emit } from "../beliefs.ts";
-import { OverloadMonitor } from "./crowding_watch.ts";
+import type { ClusterState, Emit } from "../cluster_state.ts";
+import { OverloadMonitor } from "./overload_monitor.ts";
 import type { ServerSamples } from "../fleet/index.ts";
 import type { KeyLoads, TermCampaign, TermHolder } from "../keyspace/index.ts";
 import {
--- a/src/core/exchange/term_publication_test.ts
+++ b/src/core/exchange/state_publisher_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import { backendServer } from "../../../test/support/backend_server.ts";
 import { emptyConfiguration } from "../../../test/support/empty_configuration.ts";
-import { ClusterState } from "../beliefs.ts";
+import { ClusterState } from "../cluster_state.ts";
 import type { EntryEffect } from "../entry_effect.ts";
 import type { BackendServer } from "../fleet/index.ts";
 import {
@@ -12,7 +12,7 @@
 } from "../keyspace/index.ts";
 import type { FollowerReport } from "../peers/index.ts";
 import { StoreHealth } from "../store_health.ts";
-import { StatePublisher } from "./term_publication.ts";
+import { StatePublisher } from "./state_publisher.ts";
 
 /** Creates the publisher of a term holder with 40 servers. */
 function createPublisher() {
--- a/src/core/exchange/token_exchange.ts
+++ b/src/core/exchange/token_exchange.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { ClusterState, Emit } from "../beliefs.ts";
+import type { ClusterState, Emit } from "../cluster_state.ts";
 import type { TrackedServer } from "../fleet/index.ts";
 import type { MessageOf } from "../peers/index.ts";
 import { RateTokens, type TokenAnswer, TokenBuckets } from "../rates/index.ts";
--- a/src/core/exchange/token_exchange_test.ts
+++ b/src/core/exchange/token_exchange_test.ts
@@ -4,7 +4,7 @@
   deliver,
   messageCollector,
 } from "../../../test/support/peer_messages.ts";
-import { ClusterState } from "../beliefs.ts";
+import { ClusterState } from "../cluster_state.ts";
 import type { PeerSend } from "../peers/index.ts";
 import { TokenExchange } from "./token_exchange.ts";
 
--- a/src/core/fleet/fleet.ts
+++ b/src/core/fleet/fleet.ts
@@ -5,7 +5,10 @@
  */
 import type { BackendServer } from "./backend_server.ts";
 import { type EvacuationChange, Evacuations } from "./evacuations.ts";
-import type { RateLimitChange, RateLimitReport } from "./stated_rate.ts";
+import type {
+  RateLimitChange,
+  RateLimitReport,
+} from "./reported_rate_limit.ts";
 import {
   type LatencySamples,
   type LoadReport,
--- a/src/core/fleet/index.ts
+++ b/src/core/fleet/index.ts
@@ -1,5 +1,5 @@
 export * from "./backend_server.ts";
 export * from "./evacuations.ts";
 export * from "./fleet.ts";
-export * from "./stated_rate.ts";
+export * from "./reported_rate_limit.ts";
 export * from "./tracked_server.ts";
--- a/src/core/fleet/stated_rate_test.ts
+++ b/src/core/fleet/reported_rate_limit_test.ts
@@ -1,5 +1,5 @@
 import test from "ava";
-import { ReportedRateLimit } from "./stated_rate.ts";
+import { ReportedRateLimit } from "./reported_rate_limit.ts";
 
 test("reported rate limit: the end of a low limit is reported until the limit would expire", (t) => {
   const rate = ReportedRateLimit.create();
--- a/src/core/fleet/tracked_server.ts
+++ b/src/core/fleet/tracked_server.ts
@@ -6,7 +6,7 @@
  * @module
  */
 import type { BackendServer, ReportedLoad } from "./backend_server.ts";
-import { ReportedRateLimit } from "./stated_rate.ts";
+import { ReportedRateLimit } from "./reported_rate_limit.ts";
 
 /** Weight of the newest sample in exponential moving averages. */
 const SAMPLE_WEIGHT = 0.2;
--- a/src/core/quarantine/crash_watch_test.ts
+++ b/src/core/quarantine/crash_detector_test.ts
@@ -2,7 +2,7 @@
 import { backendServer } from "../../../test/support/backend_server.ts";
 import { fingerprintOf } from "../../../test/support/fingerprint.ts";
 import { Fleet } from "../fleet/index.ts";
-import { CrashDetector } from "./crash_watch.ts";
+import { CrashDetector } from "./crash_detector.ts";
 import { Quarantine } from "./quarantine.ts";
 
 const REQUEST = {
--- a/src/core/registry/index.ts
+++ b/src/core/registry/index.ts
@@ -1,3 +1,3 @@
-export * from "./registry_news.ts";
+export * from "./registry_update.ts";
 export * from "./registry_read.ts";
 export * from "./registry_replica.ts";
--- a/src/core/registry/registry_replica.ts
+++ b/src/core/registry/registry_replica.ts
@@ -20,7 +20,7 @@
  * @module
  */
 import type { BackendServer } from "../fleet/index.ts";
-import type { RegistryUpdate } from "./registry_news.ts";
+import type { RegistryUpdate } from "./registry_update.ts";
 import type { RegistryFetch, RegistryRead } from "./registry_read.ts";
 
 /** Pause after a failed read, in milliseconds. */
--- a/src/core/registry/registry_replica_test.ts
+++ b/src/core/registry/registry_replica_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import fc from "fast-check";
 import type { BackendServer } from "../fleet/index.ts";
-import type { RegistryUpdate } from "./registry_news.ts";
+import type { RegistryUpdate } from "./registry_update.ts";
 import type { RegistryRead } from "./registry_read.ts";
 import { type RegistryChanges, RegistryReplica } from "./registry_replica.ts";
 
--- a/src/logging/index.ts
+++ b/src/logging/index.ts
@@ -1,3 +1,3 @@
 export * from "./batched_transport.ts";
 export * from "./logger.ts";
-export * from "./story.ts";
+export * from "./request_trace.ts";
--- a/src/logging/story_test.ts
+++ b/src/logging/request_trace_test.ts
@@ -1,5 +1,5 @@
 import test from "ava";
-import { traceRequest } from "./story.ts";
+import { traceRequest } from "./request_trace.ts";
 
 function line(message: string, detail: Record<string, unknown>): string {
   const time = "2026-01-01T00:00:00.000Z";
--- a/src/metrics/index.ts
+++ b/src/metrics/index.ts
@@ -1,1 +1,1 @@
-export * from "./latencies.ts";
+export * from "./latency_histogram.ts";
--- a/src/runtime/entry_metrics.ts
+++ b/src/runtime/entry_metrics.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import { LatencyHistogram } from "../metrics/latencies.ts";
+import { LatencyHistogram } from "../metrics/latency_histogram.ts";
 
 /** Returns the current gauges; called when metrics are rendered. */
 export type GaugeReader = () => Record<string, number>;
--- a/src/runtime/feed_follower.ts
+++ b/src/runtime/feed_follower.ts
@@ -10,7 +10,7 @@
 import type { ControlStore, Feed, StoreRead } from "./control_store.ts";
 import type { EventSink } from "./entry_loop.ts";
 import type { EntryMetrics } from "./entry_metrics.ts";
-import { RecordFaultLog } from "./record_faults.ts";
+import { RecordFaultLog } from "./record_fault_log.ts";
 
 /** Delay after a failed read, in milliseconds. */
 const RETRY_DELAY = 250;
--- a/src/runtime/record_faults_test.ts
+++ b/src/runtime/record_fault_log_test.ts
@@ -2,7 +2,7 @@
 import test from "ava";
 import { Logger } from "../logging/index.ts";
 import { EntryMetrics } from "./entry_metrics.ts";
-import { RecordFaultLog } from "./record_faults.ts";
+import { RecordFaultLog } from "./record_fault_log.ts";
 
 function createFaultLog() {
   const text: string[] = [];
--- a/src/runtime/store_link.ts
+++ b/src/runtime/store_link.ts
@@ -20,7 +20,7 @@
 import type { ControlStore, RecordsRead } from "./control_store.ts";
 import type { EventSink } from "./entry_loop.ts";
 import type { EntryMetrics } from "./entry_metrics.ts";
-import { RecordFaultLog } from "./record_faults.ts";
+import { RecordFaultLog } from "./record_fault_log.ts";
 
 /** See the module's comment. */
 export class StoreLink {
--- a/src/stand_ins/store_service.ts
+++ b/src/stand_ins/store_service.ts
@@ -9,7 +9,7 @@
 import { setTimeout as delay } from "node:timers/promises";
 import * as z from "zod";
 import { addressSchema } from "../settings/address.ts";
-import { ProducerTable } from "./producers.ts";
+import { ProducerTable } from "./producer_table.ts";
 import { readBody, readJson, sendJson, StandIn } from "./stand_in.ts";
 import { frameRecord, REGISTRY_TOPIC } from "./wire.ts";
 
--- a/test/large_configuration_test.ts
+++ b/test/large_configuration_test.ts
@@ -19,7 +19,7 @@
   LARGE_ROUTE_COUNT,
   largeConfiguration,
 } from "./support/large_configuration.ts";
-import { openThrottledLink } from "./support/small_link.ts";
+import { openThrottledLink } from "./support/throttled_link.ts";
 
 /** Bandwidth in bytes per second, half of a link of 7 Mbit/s. */
 const LINK_BANDWIDTH = 400_000;
--- a/test/ownership/check_long.ts
+++ b/test/ownership/check_long.ts
@@ -7,7 +7,7 @@
 import { parseArgs } from "node:util";
 import fc from "fast-check";
 import { mixedFaultSchedules } from "./schedule.ts";
-import { Simulation } from "./world.ts";
+import { Simulation } from "./simulation.ts";
 
 const { values } = parseArgs({
   options: {
--- a/test/ownership/cold_servers_test.ts
+++ b/test/ownership/cold_servers_test.ts
@@ -6,7 +6,7 @@
  */
 import test from "ava";
 import type { LoadOptions } from "./request_load.ts";
-import { type Fault, Simulation } from "./world.ts";
+import { type Fault, Simulation } from "./simulation.ts";
 
 const FROM = 12_000;
 const UNTIL = 26_000;
--- a/test/ownership/configuration_test.ts
+++ b/test/ownership/configuration_test.ts
@@ -6,7 +6,11 @@
  */
 import test from "ava";
 import { uniformFloat64 } from "../../src/core/random.ts";
-import { type Fault, Simulation, type SimulationOptions } from "./world.ts";
+import {
+  type Fault,
+  Simulation,
+  type SimulationOptions,
+} from "./simulation.ts";
 
 const VMS = 50;
 /** Number of VMs that may hold the term. */
--- a/test/ownership/ending_request_test.ts
+++ b/test/ownership/crashing_request_test.ts
@@ -14,7 +14,7 @@
   LoadOptions,
   RequestLoad,
 } from "./request_load.ts";
-import { type Fault, Simulation, type SimulationReport } from "./world.ts";
+import { type Fault, Simulation, type SimulationReport } from "./simulation.ts";
 
 /** Number of servers that a request may crash before it is quarantined. */
 const ALLOWED_CRASHES = 3;
--- a/test/ownership/evacuation_test.ts
+++ b/test/ownership/evacuation_test.ts
@@ -5,7 +5,7 @@
  */
 import test from "ava";
 import type { LoadOptions } from "./request_load.ts";
-import { type Fault, Simulation, type SimulationReport } from "./world.ts";
+import { type Fault, Simulation, type SimulationReport } from "./simulation.ts";
 
 /** Time after which no request may be sent to the zone, in milliseconds. */
 const EVACUATION_TIME = 5_000;
--- a/test/ownership/overload_test.ts
+++ b/test/ownership/overload_test.ts
@@ -8,7 +8,7 @@
  */
 import test from "ava";
 import type { LoadCounts, LoadOptions } from "./request_load.ts";
-import { Simulation } from "./world.ts";
+import { Simulation } from "./simulation.ts";
 
 const BUSY_KEY = 30_000;
 const BUSY_FROM = 12_000;
--- a/test/ownership/ownership_test.ts
+++ b/test/ownership/ownership_test.ts
@@ -8,7 +8,7 @@
   staleHolderSchedules,
 } from "./schedule.ts";
 import type { LoadOptions } from "./request_load.ts";
-import { Simulation, type SimulationOptions } from "./world.ts";
+import { Simulation, type SimulationOptions } from "./simulation.ts";
 
 const SEED = 7;
 
--- a/test/ownership/rate_limit_test.ts
+++ b/test/ownership/rate_limit_test.ts
@@ -8,7 +8,7 @@
   LoadOptions,
   RequestLoad,
 } from "./request_load.ts";
-import { type Fault, Simulation } from "./world.ts";
+import { type Fault, Simulation } from "./simulation.ts";
 
 const FROM = 8_000;
 const LIMITED_UNTIL = 22_000;
--- a/test/ownership/schedule.ts
+++ b/test/ownership/schedule.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import fc from "fast-check";
-import type { Fault, SimulationOptions } from "./world.ts";
+import type { Fault, SimulationOptions } from "./simulation.ts";
 
 const FAULT_KINDS: Fault["kind"][] = [
   "vm.freeze",
--- a/test/ownership/suspension_test.ts
+++ b/test/ownership/suspension_test.ts
@@ -8,7 +8,11 @@
 import test from "ava";
 import fc from "fast-check";
 import { clockStepSchedules, suspensionSchedules } from "./schedule.ts";
-import { type Fault, Simulation, type SimulationOptions } from "./world.ts";
+import {
+  type Fault,
+  Simulation,
+  type SimulationOptions,
+} from "./simulation.ts";
 
 const SEED = 7;
 const RUNS = 150;
--- a/test/support/peer_messages.ts
+++ b/test/support/peer_messages.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { Emit } from "../../src/core/beliefs.ts";
+import type { Emit } from "../../src/core/cluster_state.ts";
 import type { PeerMessage, PeerSend } from "../../src/core/peers/index.ts";
 
 /** A VM whose exchange receives messages of type `M`. */
