--- a/src/core/keyspace/assignment.ts
+++ b/src/core/keyspace/assignment.ts
@@ -23,11 +23,11 @@
   server: z.string().nullable(),
   /** Its address, for orders after it has left the registry. */
   address: z.string().nullable(),
-  /** Whether requests may be sent there; otherwise the keys are moving. */
+  /** Whether requests may be sent to the server. Otherwise they wait. */
   isOpen: z.boolean(),
 });
 
-/** A range with its server. */
+/** A range of keys with the server that it is assigned to. */
 export type AssignedRange = z.infer<typeof assignedRangeSchema>;
 
 /** Schema of {@linkcode Assignment}. */
--- a/src/core/keyspace/candidacy.ts
+++ b/src/core/keyspace/candidacy.ts
@@ -37,11 +37,11 @@
  */
 const MIN_FITNESS_RATIO = 1.5;
 /**
- * Time without a message about a fitter VM after which it counts as gone, in
- * milliseconds. It is twice the time in which the fit VMs elect one of
- * themselves, which is the store's timeout for a silent member (1.3 s) plus the
- * claim. With 2 s, small VMs became candidates during that election and won it
- * by their number.
+ * Time without a message about a fitter VM after which this VM assumes that
+ * there is none, in milliseconds. It is twice the time that an election among
+ * the fit VMs takes: the store's timeout for a member that does not call
+ * (1.3 s) plus the claim. With 2 s, small VMs became candidates during that
+ * election and won it by their number.
  */
 const FITTER_VM_TIMEOUT = 3_000;
 /**
@@ -69,7 +69,7 @@
    */
   #fittest = 0;
   #lastSeenAt = -Infinity;
-  /** Since when a fitter VM has been observed without a gap. */
+  /** Time since which fitter VMs have been observed without such a timeout. */
   #fitterSince = -Infinity;
 
   private constructor(readonly fitness: number) {}
--- a/src/core/keyspace/index.ts
+++ b/src/core/keyspace/index.ts
@@ -1,6 +1,5 @@
 export * from "./assignment.ts";
 export * from "./candidacy.ts";
-export * from "./held_range.ts";
 export * from "./key_directory.ts";
 export * from "./key_limits.ts";
 export * from "./key_load.ts";
@@ -11,3 +10,4 @@
 export * from "./range_table.ts";
 export * from "./term_campaign.ts";
 export * from "./term_holder.ts";
+export * from "./tracked_range.ts";
--- a/src/core/keyspace/key_directory.ts
+++ b/src/core/keyspace/key_directory.ts
@@ -21,8 +21,8 @@
   }
 
   /**
-   * Stores an assignment unless a newer one is known. Returns whether it was
-   * stored.
+   * Stores an assignment if it is newer than the known one of its service.
+   * Returns whether it was stored.
    */
   apply(assignment: Assignment): boolean {
     const known = this.#assignments.get(assignment.service);
@@ -32,8 +32,8 @@
   }
 
   /**
-   * Applies changes to the version `since` of an assignment. Returns false if
-   * another version is known, to which they do not apply. For an unknown
+   * Applies changes to version `since` of an assignment. Returns false if the
+   * known version is another one, to which they do not apply. For an unknown
    * service the changes have to contain all keys.
    */
   applyChanges(changes: Assignment, since: number): boolean {
@@ -53,8 +53,8 @@
   }
 
   /**
-   * Term and version of the oldest assignment, which shows the term holder what
-   * changes this VM lacks.
+   * Term and version of the oldest assignment. The term holder derives from it
+   * which changes this VM lacks.
    */
   get position(): { term: number; version: number } {
     let oldest: Assignment | null = null;
@@ -83,7 +83,10 @@
   }
 }
 
-/** Replaces the parts of `ranges` that `changes` cover. Both are ascending. */
+/**
+ * Returns `ranges` with the keys of `changes` replaced by these changes. Both
+ * are in ascending order.
+ */
 function overlay(
   ranges: readonly AssignedRange[],
   changes: readonly AssignedRange[],
--- a/src/core/keyspace/key_directory_test.ts
+++ b/src/core/keyspace/key_directory_test.ts
@@ -4,7 +4,7 @@
 import { KeyDirectory } from "./key_directory.ts";
 import { RangeTable } from "./range_table.ts";
 
-test("key directory: changes reproduce the holder's table after any splits and merges", (t) => {
+test("key directory: changes reproduce the term holder's table after any splits and merges", (t) => {
   const action = fc.record({
     kind: fc.constantFrom("split", "state", "merge", "publish"),
     at: fc.nat(KEY_COUNT - 1),
--- a/src/core/keyspace/key_limits.ts
+++ b/src/core/keyspace/key_limits.ts
@@ -3,23 +3,23 @@
  * too little capacity for the demand.
  *
  * A key has only one server, so a key with more requests than that server can
- * answer overloads it, whatever is decided about other keys. Each of many VMs
- * sees too few of these requests to detect this. In a cluster of 195 VMs, one
- * key received a fifth of 400 requests a second and all VMs sent them to its
- * server: 9 of 10 requests ended by a reset because the server's queue was
- * full, each sent nearly twice, and the others waited in the queue for longer
- * than their target latency.
+ * answer overloads it, wherever the other keys are placed. Each of many VMs
+ * receives too few of these requests to detect this. In a cluster of 195 VMs,
+ * one key received a fifth of 400 requests a second and all VMs sent them to
+ * its server: 9 of 10 requests ended by a reset because the server's queue was
+ * full, and each was sent nearly twice. The others waited in the queue for
+ * longer than their target latency.
  *
  * The term holder knows the demand of all VMs. It sends them the share of the
  * requests for such keys that can be admitted, and each VM refuses the others
  * at once.
  *
  * ```ts
- * // At the term holder, with the sorted keys of the last DEMAND_WINDOW milliseconds:
- * const limits = limitsOf(service, ranges, keys, DEMAND_WINDOW, fleet, now);
- * // At each VM:
- * keyLimits.take(limits, now);
- * if (chance >= keyLimits.share(service, key, now)) refuse();
+ * // At the term holder, with the sorted keys of the last `window` milliseconds:
+ * const limits = computeKeyLimits(service, ranges, keys, window, fleet, now);
+ * // At each VM, where `chance` is a random number from 0 to 1:
+ * keyLimits.replace(limits, now);
+ * if (chance >= keyLimits.admittedShare(service, key, now)) refuse();
  * ```
  *
  * @module
@@ -27,8 +27,8 @@
 import * as z from "zod";
 import type { Fleet } from "../fleet/index.ts";
 import { type KeyRange, keyRangeSchema } from "./assignment.ts";
-import type { HeldRange } from "./held_range.ts";
 import { countInRange } from "./key_load.ts";
+import type { TrackedRange } from "./tracked_range.ts";
 
 /**
  * Time over which demand is measured, in milliseconds. It is long enough that
@@ -51,8 +51,8 @@
  */
 const SIGNIFICANCE = 2;
 /**
- * Time for which limits stay valid without an update, in milliseconds: two
- * missing answers of the term holder.
+ * Time for which limits stay valid without an update, in milliseconds. It
+ * covers two missing answers of the term holder.
  */
 const LIMIT_LIFETIME = 1_200;
 
@@ -78,7 +78,7 @@
  */
 export function computeKeyLimits(
   service: string,
-  ranges: readonly HeldRange[],
+  ranges: readonly TrackedRange[],
   keys: readonly number[],
   window: number,
   fleet: Fleet,
@@ -106,8 +106,8 @@
 }
 
 /**
- * Divides the capacity of a server among its ranges. Ranges with the least
- * demand get all they need; returns the shares of the others.
+ * Divides the capacity of a server among its ranges. Ranges with little demand
+ * are admitted in full. Returns the admitted shares of the others.
  */
 function divideCapacity(
   demands: readonly Demand[],
@@ -144,7 +144,7 @@
     this.#receivedAt = now;
   }
 
-  /** Returns the time since the last update, in milliseconds. */
+  /** Returns the time since the limits were last replaced, in milliseconds. */
   age(now: number): number {
     return now - this.#receivedAt;
   }
--- a/src/core/keyspace/key_limits_test.ts
+++ b/src/core/keyspace/key_limits_test.ts
@@ -1,21 +1,23 @@
 /**
- * One key with more requests than its server can answer. Only the term holder,
- * which knows the demand of all VMs, can detect this: each VM has a request for
- * the key every few seconds.
+ * Guards against one key with more requests than its server can answer. Only
+ * the term holder, which knows the demand of all VMs, can detect this, because
+ * each single VM has a request for the key only every few seconds.
+ *
+ * @module
  */
 import test from "ava";
 import { backendServer } from "../../../test/support/backend_server.ts";
 import { Fleet } from "../fleet/index.ts";
-import { vacantRange } from "./held_range.ts";
 import { computeKeyLimits, KeyLimits } from "./key_limits.ts";
+import { vacantRange } from "./tracked_range.ts";
 
 const WINDOW = 1_000;
-/** Requests a second that a server can answer here: two slots, 100 ms each. */
+/** Requests a second that a server can answer in two slots, 100 ms each. */
 const CAPACITY = 20;
 
 /**
- * Creates servers `a` and `b` that answer in 100 ms, of which `a` has two
- * ranges.
+ * Creates servers `a` and `b` that answer in 100 ms, with two ranges of `a` and
+ * one of `b`.
  */
 function createServers() {
   const fleet = Fleet.create();
@@ -36,7 +38,7 @@
   return { fleet, heldRanges };
 }
 
-/** Returns the limits if each key is requested as often as `counts` says. */
+/** Returns the limits for these numbers of requests by key. */
 function limitsFor(counts: Record<number, number>) {
   const { fleet, heldRanges } = createServers();
   const keys = Object.entries(counts).flatMap(([key, count]) =>
--- a/src/core/keyspace/key_load.ts
+++ b/src/core/keyspace/key_load.ts
@@ -18,9 +18,9 @@
  */
 const MAX_SAMPLES = 4_000;
 /**
- * Age up to which requests are compared with the earlier ones, in milliseconds.
- * With this window, a key that became busy was moved after 0.5 s; with the
- * whole window, after 1 to 2 s.
+ * Age up to which requests count as recent and are compared with the earlier
+ * ones, in milliseconds. With this window, a key that became busy was moved
+ * after 0.5 s; with the whole window, after 1 to 2 s.
  */
 const RECENT_WINDOW = 700;
 /** Number of samples in that window below which no surge is detected. */
@@ -31,9 +31,9 @@
  */
 const BIN_BITS = 8;
 /**
- * Standard deviations by which a bin must exceed the number expected from the
- * earlier requests. With 256 bins and three checks a second, chance alone
- * exceeds it once in hours.
+ * Standard deviations by which the requests of a bin must exceed the number
+ * expected from the earlier requests. With 256 bins and three checks a second,
+ * random variation exceeds this only once in hours.
  */
 const SURGE_SIGNIFICANCE = 6;
 
--- a/src/core/keyspace/key_load_test.ts
+++ b/src/core/keyspace/key_load_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import { countInRange, KeyLoads } from "./key_load.ts";
 
-/** Records requests spread over all keys, 500 a second from 0 to `until`. */
+/** Records requests spread over all keys, 500 a second from 0 to `until` ms. */
 function recordEvenLoad(until: number) {
   const load = KeyLoads.create().of("s");
   for (let now = 0; now < until; now += 2) load.record(now * 97 % 65_536, now);
--- a/src/core/keyspace/key_rebalancer.ts
+++ b/src/core/keyspace/key_rebalancer.ts
@@ -7,7 +7,7 @@
 import type { Fleet, TrackedServer } from "../fleet/index.ts";
 import { DEMAND_WINDOW } from "./key_limits.ts";
 import type { KeyLoads } from "./key_load.ts";
-import { type Candidate, type Move, Placement } from "./placement.ts";
+import { type EligibleServer, type Move, Placement } from "./placement.ts";
 import type { RangeTable } from "./range_table.ts";
 
 /** Interval between checks of the load balance, in milliseconds. */
@@ -65,7 +65,8 @@
   }
 
   /**
-   * Returns whether a check of a service is due, and if so records it as done.
+   * Returns whether a check of a service's load balance is due, and if so
+   * records it as done.
    */
   tryStartCheck(service: string, now: number): boolean {
     const checkedAt = this.#checkedAt.get(service) ?? 0;
@@ -86,41 +87,44 @@
     return isSettled || !this.loads.of(service).isEmpty;
   }
 
-  /** Returns the moves that should start now. */
+  /**
+   * Returns the moves that should start now. Servers in `suspects` get no keys
+   * if there are others.
+   */
   moves(table: RangeTable, suspects: Set<string>, now: number): Move[] {
     const moving = table.ranges.filter((each) => each.state !== "held").length;
-    const { length: servers } = this.fleet.serversOf(table.service);
+    const { length: serverCount } = this.fleet.serversOf(table.service);
     const maxMoving = Math.max(
       MIN_CONCURRENT_MOVES,
-      Math.ceil(CONCURRENT_MOVES_PER_SERVER * servers),
+      Math.ceil(CONCURRENT_MOVES_PER_SERVER * serverCount),
     );
     if (moving >= maxMoving) return [];
-    const candidates = this.candidates(table.service, suspects, now);
-    if (table.ranges.length > maxRanges(candidates.length)) return [];
-    const placement = this.placement(table.service, candidates, now);
+    const eligible = this.eligibleServers(table.service, suspects, now);
+    if (table.ranges.length > maxRanges(eligible.length)) return [];
+    const placement = this.placement(table.service, eligible, now);
     return placement.moves(table.ranges).slice(0, maxMoving - moving);
   }
 
   /** Creates a placement from the recent requests of a service. */
   placement(
     service: string,
-    candidates: readonly Candidate[],
+    servers: readonly EligibleServer[],
     now: number,
   ): Placement {
     const samples = this.loads.of(service).windowKeys(now);
-    return Placement.create(samples, candidates);
+    return Placement.create(samples, servers);
   }
 
   /**
-   * Returns the servers that may get keys, with their speeds as measured and
-   * limited. Suspected or otherwise unfit servers are included only if there
-   * are no others.
+   * Returns the servers that may get keys, with their speeds, which a rate
+   * limit may reduce. Suspected, paused, cold and unresponsive servers are
+   * included only if there are no others.
    */
-  candidates(
+  eligibleServers(
     service: string,
     suspects: Set<string>,
     now: number,
-  ): Candidate[] {
+  ): EligibleServer[] {
     const meanLatency = this.fleet.meanLatency(service, now);
     const usable = this.fleet.serversOf(service).filter((each) =>
       !each.isLeaving
@@ -130,9 +134,9 @@
       !each.isWarming(now) &&
       !each.isUnresponsive(now, meanLatency)
     );
-    const candidates = healthy.length > 0 ? healthy : usable;
-    const meanDemand = this.#demand(service, now) / candidates.length;
-    return candidates.map((server) => {
+    const eligible = healthy.length > 0 ? healthy : usable;
+    const meanDemand = this.#demand(service, now) / eligible.length;
+    return eligible.map((server) => {
       const speed = relativeSpeed(server, meanLatency);
       const limit = server.rateLimit.current(now);
       return { id: server.id, speed: limitedSpeed(speed, limit, meanDemand) };
@@ -153,10 +157,10 @@
  * Returns the maximum number of ranges of a service with this number of
  * servers.
  */
-function maxRanges(servers: number): number {
+function maxRanges(serverCount: number): number {
   return Math.min(
-    SMALL_SERVICE_RANGES_PER_SERVER * servers,
-    LARGE_SERVICE_RANGES_PER_SERVER * servers + LARGE_SERVICE_EXTRA_RANGES,
+    SMALL_SERVICE_RANGES_PER_SERVER * serverCount,
+    LARGE_SERVICE_RANGES_PER_SERVER * serverCount + LARGE_SERVICE_EXTRA_RANGES,
   );
 }
 
@@ -170,8 +174,9 @@
 
 /**
  * Caps a relative speed according to the server's rate limit, if it has one.
- * Both `limit` and `meanDemand`, the mean demand per candidate, are in requests
- * per second; a server of speed 1 is assumed to receive the mean demand.
+ * Both `limit` and `meanDemand`, the mean demand per eligible server, are in
+ * requests per second; a server of speed 1 is assumed to receive the mean
+ * demand.
  */
 function limitedSpeed(
   speed: number,
--- a/src/core/keyspace/keyspace_effect.ts
+++ b/src/core/keyspace/keyspace_effect.ts
@@ -11,23 +11,25 @@
   /** The server has seen a higher token on some of the keys. */
   | { kind: "superseded" }
   /**
-   * Another server listens at the address and refused the order: the intended
-   * server has ended.
+   * Another server listens at the address and refused the order, so the
+   * intended one no longer listens there.
    */
   | { kind: "misdirected" }
   /**
-   * The order was not sent: there was no connection, and it must not open one.
+   * The order was not sent: no connection was open, and the order must not open
+   * one.
    */
   | { kind: "withheld" }
-  /** There was no usable answer. The order may still be carried out. */
+  /** There was no valid answer. The server may still carry out the order. */
   | { kind: "failed"; cause: string };
 
 /**
- * Content of every order to a server; the answer is the event `order.ended`.
+ * Fields of every order to a server. The event `order.ended` reports the
+ * outcome.
  *
- * The process of a server may end at any time, and another server may then
- * listen at its address without knowledge of earlier orders. So each order
- * names the intended server and has its own token.
+ * The process of a server may end at any time, and another server, which has
+ * received none of the earlier orders, may then listen at its address. So each
+ * order names the intended server and has its own token.
  */
 interface KeyOrder extends KeyRange {
   /** Number of the order, unique in this process. */
@@ -42,8 +44,8 @@
    * Whether a connection may be opened for the order. A connection ends with
    * the server process that it was opened to, so an order on an existing
    * connection cannot reach a process that started later. A process that
-   * started after another VM has claimed the next term may have seen no token,
-   * and would accept an order of this term.
+   * started after another VM claimed the next term may have received no token
+   * of that term yet, and would accept an order of this older term.
    */
   mayConnect: boolean;
 }
@@ -53,10 +55,14 @@
   kind: "order.grant";
   /** Milliseconds for which the server holds the keys. */
   hold: number;
+  /**
+   * Text from the previous server of the keys, which shortens the warm-up of
+   * this one, or null.
+   */
   handover: string | null;
 }
 
-/** Takes keys back. */
+/** Orders a server to release keys. */
 export interface ReleaseOrder extends KeyOrder {
   kind: "order.release";
 }
@@ -80,11 +86,14 @@
   to: string;
   /** Token of the grant that the server accepted. */
   token: number;
-  /** Milliseconds for which no server could be asked for the keys. */
+  /** Milliseconds for which requests for the keys had to wait. */
   took: number;
 }
 
-/** Records assignments; the answer is the event `assignments.written`. */
+/**
+ * Writes assignments to the store; the event `assignments.written` reports the
+ * outcome.
+ */
 export interface AssignmentWrite {
   kind: "assignments.write";
   term: number;
@@ -103,14 +112,17 @@
   fitness: number;
 }
 
-/** Reads the records; the answer is the event `term.read`. */
+/**
+ * Reads the newest term and the recorded assignments; the event `term.read`
+ * reports the result.
+ */
 export interface TermRead {
   kind: "term.read";
 }
 
 /**
- * Claims a term if the record still ends at `end`; the answer is the event
- * `term.claimed`.
+ * Claims a term, provided that the records still end at position `end`; the
+ * event `term.claimed` reports the outcome.
  */
 export interface TermClaim {
   kind: "term.claim";
@@ -124,7 +136,10 @@
  */
 export type ElectionGroup = "electorate" | "observers";
 
-/** Joins a group or stays in it; the answer is the event `group.joined`. */
+/**
+ * Joins a group or renews the membership; the event `group.joined` reports the
+ * result.
+ */
 export interface GroupJoin {
   kind: "group.join";
   group: ElectionGroup;
--- a/src/core/keyspace/lease_timing.ts
+++ b/src/core/keyspace/lease_timing.ts
@@ -8,8 +8,8 @@
  * shorten the lease.
  *
  * The term holder sends grants only while its authority lasts, counted from the
- * time at which it sent its last confirmed membership call. So if a successor
- * fences the previous holder at time T, the last grant of that holder expires
+ * time at which it sent its last confirmed membership call. So if a new term
+ * holder fences its predecessor at time T, the predecessor's last grant expires
  * before `T + authority + longest hold time`, plus the allowances for clock
  * drift and delivery.
  *
@@ -29,8 +29,8 @@
    * Hold time of a grant while the store does not answer. No key can move
    * during that time, so the lease only has to outlast the outage: this value
    * outlasts outages of 9 s. A longer value would delay the reassignment of
-   * keys by as much, because a successor that cannot reach a server has to
-   * assume that it holds its keys for the full time.
+   * keys by as much, because a new term holder that cannot reach a server has
+   * to assume that the server holds its keys for the full time.
    */
   longHold: z.number().int().positive().default(7_000),
   /**
--- a/src/core/keyspace/order_outcome_handler.ts
+++ b/src/core/keyspace/order_outcome_handler.ts
@@ -1,6 +1,5 @@
 /**
- * Applies the outcome of an order to its range and to what is known of its
- * server.
+ * Applies the outcome of an order to the state of its range and of its server.
  *
  * @module
  */
@@ -18,8 +17,8 @@
 const RETRY_DELAY = 150;
 /**
  * Delay before a withheld order is created again, in milliseconds. Orders of
- * one turn of the event loop are withheld together. Orders that were created
- * again in the turn that reports this would be sent only at its end, when they
+ * one turn of the event loop are withheld together. If they were created again
+ * in the turn that reports this, they would be sent only at its end, when they
  * are again too old to open a connection.
  */
 const WITHHELD_RETRY_DELAY = 30;
@@ -46,8 +45,8 @@
   }
 
   /**
-   * Applies the outcome of an order, unless a newer term holder has superseded
-   * it.
+   * Applies the outcome of an order and returns the resulting effects. The
+   * outcome `superseded` is not expected here.
    */
   handle(
     order: PendingOrder,
@@ -88,8 +87,8 @@
   }
 
   /**
-   * Schedules a withheld order again, for when a connection may be opened for
-   * it.
+   * Schedules a withheld order to be created again after
+   * {@linkcode WITHHELD_RETRY_DELAY}.
    */
   #onWithheld({ range }: PendingOrder, now: number): void {
     range.isLastOrderWithheld = true;
@@ -120,8 +119,8 @@
     if (range.failures === 0) range.failingSince = now;
     range.failures += 1;
     range.dueAt = now + RETRY_DELAY;
-    const isLost = this.servers.isUnresponsive(range);
-    if (isLost && range.state !== "held") range.state = "expiring";
+    const isUnresponsive = this.servers.isUnresponsive(range);
+    if (isUnresponsive && range.state !== "held") range.state = "expiring";
   }
 
   #onRelease(
@@ -146,9 +145,9 @@
   }
 
   /**
-   * Handles the answer to a release order that checked whether the server still
-   * listens. If the server itself has accepted it, its keys are assigned to it
-   * again.
+   * Handles the outcome of a probe: a release order that checks whether the
+   * server still listens. If the server itself has accepted it, the keys are
+   * assigned to it again.
    */
   #onProbe(
     { table, range }: PendingOrder,
@@ -163,8 +162,8 @@
 }
 
 /**
- * Reports, for keys that another server holds now, how long no server could be
- * asked for them.
+ * Returns a log entry with the time for which requests for the keys of a grant
+ * had to wait, or nothing if they did not wait.
  */
 function moveCompletedEffects(
   { table, range, token }: PendingOrder,
--- a/src/core/keyspace/order_tracker.ts
+++ b/src/core/keyspace/order_tracker.ts
@@ -1,13 +1,13 @@
 /**
- * Creates the orders of a term holder to backend servers, and tracks which are
- * in flight and until when a server may hold keys by them.
+ * Creates the orders of a term holder to backend servers, and tracks which of
+ * them are in flight and until when servers may hold keys because of them.
  *
  * @module
  */
-import type { HeldRange } from "./held_range.ts";
 import type { GrantOrder, ReleaseOrder } from "./keyspace_effect.ts";
 import { type LeaseTiming, unansweredGrantEnd } from "./lease_timing.ts";
 import type { RangeTable } from "./range_table.ts";
+import type { TrackedRange } from "./tracked_range.ts";
 
 /**
  * Number of tokens reserved for each term: more than a term holder uses in
@@ -36,7 +36,7 @@
 /** An order that is in flight. */
 export interface PendingOrder {
   table: RangeTable;
-  range: HeldRange;
+  range: TrackedRange;
   kind: "grant" | "release";
   sentAt: number;
   /** Hold time of a grant, in milliseconds; 0 for a release. */
@@ -83,7 +83,8 @@
   }
 
   /**
-   * Starts a step. `mayConnect` tells whether its orders may open connections.
+   * Starts a step, which resets the limit on the orders of a step. `mayConnect`
+   * tells whether the orders of the step may open connections.
    * `isTimerEvent` tells whether the step handles a timer event, which does not
    * share its turn of the event loop with other events.
    */
@@ -111,13 +112,13 @@
    * Creates an order that grants a range or renews its grant. The server and
    * the address of the range must be known.
    *
-   * A renewal has a new token too. The process that it is meant for may have
-   * ended, and to a process that replaces it the renewal is the first grant.
-   * With the same token, two processes would hold the same keys with one token.
+   * A renewal has a new token too. The intended process may have ended, and for
+   * the process that replaces it the renewal is the first grant. With an
+   * unchanged token, two processes would hold the same keys with one token.
    */
   grant(
     table: RangeTable,
-    range: HeldRange,
+    range: TrackedRange,
     hold: number,
     now: number,
   ): GrantOrder {
@@ -142,8 +143,8 @@
     };
   }
 
-  /** Creates an order that takes a range back. */
-  release(table: RangeTable, range: HeldRange, now: number): ReleaseOrder {
+  /** Creates an order to release a range. */
+  release(table: RangeTable, range: TrackedRange, now: number): ReleaseOrder {
     const token = this.#nextToken();
     return {
       kind: "order.release",
@@ -163,7 +164,7 @@
    * step, because a limit is reached or because the order would be withheld
    * again.
    */
-  isDeferred(range: HeldRange): boolean {
+  isDeferred(range: TrackedRange): boolean {
     if (this.#ordersLeft === 0) return true;
     if (isLikelyConnected(range)) return false;
     const isLikelyWithheld = range.isLastOrderWithheld && !this.#mayConnect;
@@ -171,8 +172,8 @@
   }
 
   /**
-   * Ends the tracking of an order and returns it; undefined if it is of another
-   * term.
+   * Stops tracking an order and returns it, or undefined if it belongs to
+   * another term.
    */
   complete(id: number, now: number): PendingOrder | undefined {
     const order = this.#pending.get(id);
@@ -188,7 +189,7 @@
    * keys.
    */
   heldUntil(
-    { order: id, leaseEnd, unansweredEnd, inheritedEnd }: HeldRange,
+    { order: id, leaseEnd, unansweredEnd, inheritedEnd }: TrackedRange,
   ): number {
     const order = id === null ? undefined : this.#pending.get(id);
     const inFlight = order?.kind === "grant"
@@ -199,7 +200,7 @@
 
   #track(
     table: RangeTable,
-    range: HeldRange,
+    range: TrackedRange,
     kind: PendingOrder["kind"],
     hold: number,
     token: number,
@@ -224,7 +225,7 @@
  * withheld.
  */
 function isLikelyConnected(
-  { isFenced, isLastOrderWithheld }: HeldRange,
+  { isFenced, isLastOrderWithheld }: TrackedRange,
 ): boolean {
   return isFenced && !isLastOrderWithheld;
 }
--- a/src/core/keyspace/outstanding_lease.ts
+++ b/src/core/keyspace/outstanding_lease.ts
@@ -1,7 +1,7 @@
 /**
- * Time for which servers may still hold keys by the grants of one term holder.
- * Without it the next term holder would have to assume the longest possible
- * leases.
+ * Leases that servers may still have from the grants of a previous term holder.
+ * Without this report, the next term holder would have to assume the longest
+ * possible leases.
  *
  * @module
  */
@@ -12,8 +12,8 @@
 export const outstandingLeaseSchema = keyRangeSchema.extend({
   service: z.string(),
   /**
-   * Milliseconds from now until no server can hold the keys any more if no
-   * grant follows; 0 if none can now.
+   * Milliseconds until the last lease of the keys ends if no further grant is
+   * sent; 0 if no server can hold them now.
    */
   remaining: z.number().nonnegative(),
 });
--- a/src/core/keyspace/placement.ts
+++ b/src/core/keyspace/placement.ts
@@ -1,21 +1,25 @@
 /**
  * Decides from the measured load which server should hold which keys.
  *
+ * The weight of a range is its share of the total load of its service. The load
+ * of a server is the weight of its ranges divided by its speed. The fair load
+ * is the load of each server if the total weight were divided evenly.
+ *
  * @module
  */
 import { KEY_COUNT, keyCount, type KeyRange } from "./assignment.ts";
-import type { HeldRange } from "./held_range.ts";
 import { countInRange } from "./key_load.ts";
+import type { TrackedRange } from "./tracked_range.ts";
 
 /**
- * Share of a range's weight that its number of keys determines; its measured
- * load determines the rest. Keys without requests are spread too, but with
- * little weight.
+ * Share of a range's weight that its number of keys determines; its number of
+ * requests determines the rest. So keys without requests are spread over the
+ * servers too, but with little weight.
  */
 const KEY_COUNT_WEIGHT = 0.2;
 /**
- * Number of samples below which the measured load is not significant and only
- * the number of keys counts.
+ * Number of samples below which the number of requests is not significant and
+ * only the number of keys counts.
  */
 const MIN_SAMPLES = 30;
 /**
@@ -55,7 +59,7 @@
 const IDLE_TARGET_SHARE = 0.75;
 
 /** A server that may get keys. */
-export interface Candidate {
+export interface EligibleServer {
   id: string;
   /** Speed relative to other servers; 1 is the usual speed. */
   speed: number;
@@ -76,11 +80,11 @@
   destination: string | null;
 }
 
-/** Computes weights and moves for one decision. */
+/** Computes weights, loads and moves from one set of samples. */
 export class Placement {
   private constructor(
     private readonly samples: readonly number[],
-    private readonly candidates: readonly Candidate[],
+    private readonly servers: readonly EligibleServer[],
   ) {}
 
   /**
@@ -89,43 +93,50 @@
    */
   static create(
     samples: readonly number[],
-    candidates: readonly Candidate[],
+    servers: readonly EligibleServer[],
   ): Placement {
-    return new Placement(samples, candidates);
+    return new Placement(samples, servers);
   }
 
-  /** Returns the share of a range in all work, from 0 to 1. */
+  /** Returns the weight of a range, from 0 to 1. */
   weight(range: KeyRange): number {
-    const keys = keyCount(range) / KEY_COUNT;
-    if (this.samples.length < MIN_SAMPLES) return keys;
-    const load = countInRange(this.samples, range) / this.samples.length;
-    return KEY_COUNT_WEIGHT * keys + (1 - KEY_COUNT_WEIGHT) * load;
+    const keyShare = keyCount(range) / KEY_COUNT;
+    if (this.samples.length < MIN_SAMPLES) return keyShare;
+    const requestShare = countInRange(this.samples, range) /
+      this.samples.length;
+    return KEY_COUNT_WEIGHT * keyShare + (1 - KEY_COUNT_WEIGHT) * requestShare;
   }
 
-  /** Returns the work of each candidate divided by its speed. */
-  loads(ranges: readonly HeldRange[]): Map<string, number> {
-    const loads = new Map(this.candidates.map(({ id }) => [id, 0]));
+  /**
+   * Returns the load of each eligible server by its id. A range that moves
+   * counts for its destination.
+   */
+  loads(ranges: readonly TrackedRange[]): Map<string, number> {
+    const loads = new Map(this.servers.map(({ id }) => [id, 0]));
     for (const range of ranges) {
       const server = range.destination ?? range.server;
       if (server === null || !loads.has(server)) continue;
       loads.set(server, loads.get(server)! + this.weight(range));
     }
-    for (const { id, speed } of this.candidates) {
+    for (const { id, speed } of this.servers) {
       loads.set(id, loads.get(id)! / speed);
     }
     return loads;
   }
 
-  /** Chooses the candidate for a range, and adds the range to its load. */
+  /**
+   * Returns the id of the server that would have the lowest load with a range,
+   * and adds the range to its load in `loads`; null if no server is eligible.
+   */
   choose(loads: Map<string, number>, range: KeyRange): string | null {
-    let best: Candidate | null = null;
+    let best: EligibleServer | null = null;
     let lowest = Infinity;
     const weight = this.weight(range);
-    for (const candidate of this.candidates) {
-      const load = loads.get(candidate.id)! + weight / candidate.speed;
+    for (const server of this.servers) {
+      const load = loads.get(server.id)! + weight / server.speed;
       if (load >= lowest) continue;
       lowest = load;
-      best = candidate;
+      best = server;
     }
     if (best === null) return null;
     loads.set(best.id, lowest);
@@ -150,17 +161,20 @@
     return pieces;
   }
 
-  /** Returns moves from the overloaded servers to those with the least load. */
-  moves(ranges: readonly HeldRange[]): Move[] {
+  /**
+   * Returns moves from the overloaded servers to those with the least load, or,
+   * if there are none, from the busiest servers to idle ones.
+   */
+  moves(ranges: readonly TrackedRange[]): Move[] {
     const loads = this.loads(ranges);
     const speeds = new Map(
-      this.candidates.map((each) => [each.id, each.speed]),
+      this.servers.map((each) => [each.id, each.speed]),
     );
-    const totalSpeed = this.candidates.reduce(
+    const totalSpeed = this.servers.reduce(
       (sum, { speed }) => sum + speed,
       0,
     );
-    if (this.candidates.length < 2) return [];
+    if (this.servers.length < 2) return [];
     const total = ranges.reduce((sum, each) => sum + this.weight(each), 0);
     const fairLoad = total / totalSpeed;
     const limit = Math.max(
@@ -173,8 +187,8 @@
     ) {
       const from = server!;
       let rest: KeyRange | null = { first, last };
-      // Each move carries at most one fair load, and keys that have become busy
-      // may need several moves.
+      // A move carries at most one fair load, so keys that have become busy may
+      // need several moves.
       while (rest !== null && loads.get(from)! >= limit) {
         const excess = (loads.get(from)! - fairLoad) * speeds.get(from)!;
         if (excess < MIN_MOVE_SHARE * fairLoad) break;
@@ -199,7 +213,7 @@
 
   /** Moves a small share from each of the busiest servers to idle ones. */
   #fillIdle(
-    ranges: readonly HeldRange[],
+    ranges: readonly TrackedRange[],
     fairLoad: number,
     loads: Map<string, number>,
     speeds: Map<string, number>,
@@ -251,9 +265,10 @@
     speeds: Map<string, number>,
   ): Proposal {
     const receiver = leastLoaded(loads, from);
-    const room = (fairLoad - loads.get(receiver)!) * speeds.get(receiver)!;
+    const spareWeight = (fairLoad - loads.get(receiver)!) *
+      speeds.get(receiver)!;
     const smallest = MIN_MOVE_SHARE * fairLoad;
-    const amount = Math.max(smallest, Math.min(excess, room));
+    const amount = Math.max(smallest, Math.min(excess, spareWeight));
     const piece = this.#prefix(range, amount);
     const weight = this.weight(piece);
     // Moving an indivisible piece to that server would only move the overload.
@@ -292,10 +307,14 @@
     return destination;
   }
 
+  /**
+   * Returns the ranges that eligible servers hold without an order in flight,
+   * the heaviest first.
+   */
   #movableByWeight(
-    ranges: readonly HeldRange[],
+    ranges: readonly TrackedRange[],
     loads: Map<string, number>,
-  ): HeldRange[] {
+  ): TrackedRange[] {
     return ranges
       .filter((each) =>
         each.state === "held" && each.order === null &&
--- a/src/core/keyspace/placement_test.ts
+++ b/src/core/keyspace/placement_test.ts
@@ -1,10 +1,10 @@
 import test from "ava";
 import fc from "fast-check";
 import { KEY_COUNT, keyCount } from "./assignment.ts";
-import { type HeldRange, vacantRange } from "./held_range.ts";
 import { Placement } from "./placement.ts";
+import { type TrackedRange, vacantRange } from "./tracked_range.ts";
 
-function heldRange(server: string, first: number, last: number): HeldRange {
+function heldRange(server: string, first: number, last: number): TrackedRange {
   const range = vacantRange({ first, last }, 0);
   return { ...range, state: "held", server };
 }
@@ -84,7 +84,7 @@
   const ranges = servers.map(({ id }, i) =>
     heldRange(id, Math.round(i * size), Math.round((i + 1) * size) - 1)
   );
-  // Two thirds of all requests are for 200 adjacent keys of the first server.
+  // Two thirds of all requests are for 200 adjacent keys of one server.
   const samples = Array.from(
     { length: 900 },
     (_, i) => i % 3 === 0 ? i * 72 : 3_000 + i % 200,
@@ -96,13 +96,13 @@
     const own = moves.filter(({ piece }) =>
       range.first <= piece.first && piece.last <= range.last
     );
-    let left = placement.weight(range);
+    let remainingWeight = placement.weight(range);
     for (const { piece, destination } of own) {
       const weight = placement.weight(piece);
-      left -= weight;
+      remainingWeight -= weight;
       loads.set(destination, loads.get(destination)! + weight);
     }
-    loads.set(range.server!, loads.get(range.server!)! + left);
+    loads.set(range.server!, loads.get(range.server!)! + remainingWeight);
   }
   const heaviest = Math.max(...loads.values());
   t.true(heaviest < 0.2, `${heaviest}`);
@@ -120,18 +120,19 @@
     );
     const placement = Placement.create([], servers);
     const moves = placement.moves(ranges);
-    const given = moves.reduce(
+    const movedWeight = moves.reduce(
       (sum, { piece }) => sum + placement.weight(piece),
       0,
     );
     t.true(moves.every(({ destination }) => destination === `s${count}`));
-    t.true(given > 0.5 / (count + 1), `${count}: ${given}`);
-    t.true(given < 1 / (count + 1) + 0.01, `${count}: ${given}`);
+    t.true(movedWeight > 0.5 / (count + 1), `${count}: ${movedWeight}`);
+    t.true(movedWeight < 1 / (count + 1) + 0.01, `${count}: ${movedWeight}`);
   }
 });
 
 test("placement: other keys leave the server of a busy key that stays", (t) => {
-  // Server a is the fastest and holds the busy key in front of a wide range.
+  // Server `a` is the fastest. It holds the busy key at the start of a wide
+  // range.
   const busy = Array.from({ length: 800 }, () => 0);
   const others = Array.from({ length: 300 }, (_, i) => 1 + i * 218);
   const samples = [...busy, ...others].sort((a, b) => a - b);
--- a/src/core/keyspace/range_servers.ts
+++ b/src/core/keyspace/range_servers.ts
@@ -1,6 +1,7 @@
 /**
- * What the term holder knows of the servers that hold keys: whether one is
- * lost, is leaving, has restarted, may have been replaced, or has ended.
+ * State of the servers that hold keys, as known to the term holder: whether a
+ * server is lost, is leaving, has restarted, has ended, or has an address at
+ * which another server is listed too.
  *
  * A server keeps its id when it restarts. Its processes are told apart by their
  * incarnation and address.
@@ -9,13 +10,14 @@
  */
 import type { Fleet } from "../fleet/index.ts";
 import { KEY_COUNT } from "./assignment.ts";
-import type { HeldRange } from "./held_range.ts";
 import type { PendingOrder } from "./order_tracker.ts";
+import type { TrackedRange } from "./tracked_range.ts";
 
 /**
- * Number of consecutive unanswered orders after which a server counts as lost.
+ * Number of consecutive unanswered orders after which a server counts as
+ * unresponsive.
  */
-const FAILURES_UNTIL_LOST = 2;
+const FAILURES_UNTIL_UNRESPONSIVE = 2;
 
 /**
  * Time over which the releases of the keys of an evacuated zone are spread, in
@@ -24,13 +26,13 @@
  */
 const EVACUATION_SPREAD_TIME = 2_000;
 /**
- * Multiplier of the hash that sets the position of a key in this time. It is
- * odd, so that adjacent keys, which are often busy together, are released at
- * different times.
+ * Multiplier of the hash that spreads the keys over this time. It is odd, so
+ * that adjacent keys, which are often busy together, are released at different
+ * times.
  */
 const HASH_MULTIPLIER = 40_503;
 
-/** Identifies one process of a server by what its registry entry states. */
+/** Identifies one process of a server by fields of its registry entry. */
 interface ServerProcess {
   incarnation: number;
   address: string;
@@ -64,7 +66,10 @@
     return this.fleet.get(server)?.entry.incarnation ?? 0;
   }
 
-  /** Whether a server is listed and is not leaving. */
+  /**
+   * Whether a server is listed, is not draining, and is not in an evacuated
+   * zone.
+   */
   isAvailable(server: string): boolean {
     const entry = this.fleet.get(server)?.entry;
     return entry !== undefined && !entry.isDraining &&
@@ -72,12 +77,12 @@
   }
 
   /**
-   * Whether the release of the keys of a range is due because its server is
-   * leaving. The keys of an evacuated zone are released one range after the
-   * other. If they were released at once, they would all wait for running
-   * requests together and be assigned to a few servers at the same time.
+   * Whether the server of a range is leaving and has to release it now. The
+   * ranges of an evacuated zone are released one after the other. If all were
+   * released at once, they would all wait for running requests at the same time
+   * and then be assigned to a few servers together.
    */
-  isReleaseDue({ server, first }: HeldRange, now: number): boolean {
+  isReleaseDue({ server, first }: TrackedRange, now: number): boolean {
     if (this.isAvailable(server!)) return false;
     const { entry, evacuatedSince } = this.fleet.get(server!) ?? {};
     if (entry === undefined || entry.isDraining) return true;
@@ -86,23 +91,23 @@
   }
 
   /** Whether enough consecutive orders for a range got no answer. */
-  isUnresponsive({ failures }: HeldRange): boolean {
-    return failures >= FAILURES_UNTIL_LOST;
+  isUnresponsive({ failures }: TrackedRange): boolean {
+    return failures >= FAILURES_UNTIL_UNRESPONSIVE;
   }
 
   /**
-   * Whether the server of a range is lost. An overloaded server delays orders
-   * like requests, so as long as any VM gets answers from it, its keys stay
-   * there while its lease lasts.
+   * Whether the server of a range is lost. An overloaded server answers orders
+   * as late as requests, so as long as any VM receives responses from it, it
+   * keeps its keys until its lease ends.
    */
-  isLost(range: HeldRange, now: number): boolean {
+  isLost(range: TrackedRange, now: number): boolean {
     if (!this.isUnresponsive(range)) return false;
-    const aliveAt = this.fleet.get(range.server!)?.lastSeenAt ?? -Infinity;
-    return aliveAt < range.failingSince || now >= range.leaseEnd;
+    const lastSeenAt = this.fleet.get(range.server!)?.lastSeenAt ?? -Infinity;
+    return lastSeenAt < range.failingSince || now >= range.leaseEnd;
   }
 
   /** Whether another server is listed at the address of a range. */
-  isAddressReused({ address, server }: HeldRange): boolean {
+  isAddressReused({ address, server }: TrackedRange): boolean {
     return address !== null && this.fleet.isReused(address, server!);
   }
 
@@ -111,7 +116,7 @@
    * a restart it holds no keys and has no state, and no other server can hold
    * the keys.
    */
-  isRestarted({ server, incarnation }: HeldRange): boolean {
+  isRestarted({ server, incarnation }: TrackedRange): boolean {
     if (incarnation === 0 || !this.isAvailable(server!)) return false;
     const current = this.incarnation(server!);
     return current !== 0 && current !== incarnation;
@@ -129,20 +134,21 @@
   }
 
   /**
-   * Whether a refused order proves the same for another range of its server. It
-   * does not if an order for that range ended after the refused order was sent,
-   * since a newer process may have accepted it.
+   * Whether the refusal of an order also proves that the process that holds
+   * another range of the same server has ended. It does not if an order for
+   * that range ended after the refused order was sent, because a newer process
+   * may have accepted that one.
    */
   isEndProvenFor(
-    range: HeldRange,
+    range: TrackedRange,
     { address, sentAt }: PendingOrder,
   ): boolean {
     return range.orderEndedAt <= sentAt && isGrantedOnlyAt(range, address);
   }
 
   /**
-   * Records that the server process to which an order was sent has ended. The
-   * record is kept while the server is listed.
+   * Records that the process to which an order was sent has ended. The record
+   * is kept while the server is listed.
    */
   recordEnd({ range, address, incarnation }: PendingOrder): void {
     for (const id of this.#endedProcesses.keys()) {
@@ -162,7 +168,7 @@
    * Returns the servers of `ranges` that have left an order unanswered, and
    * those that have ended.
    */
-  suspectedServers(ranges: Iterable<HeldRange>): Set<string> {
+  suspectedServers(ranges: Iterable<TrackedRange>): Set<string> {
     const suspects = new Set(
       [...this.#endedProcesses.keys()].filter((id) => this.hasEnded(id)),
     );
@@ -175,9 +181,12 @@
 
 /**
  * Whether all grants by which the server of a range may hold it were sent to
- * `address`. Another server found there proves nothing about a process at a
- * different address.
+ * `address`. That another server listens there proves nothing about a process
+ * at a different address.
  */
-function isGrantedOnlyAt({ addresses }: HeldRange, address: string): boolean {
+function isGrantedOnlyAt(
+  { addresses }: TrackedRange,
+  address: string,
+): boolean {
   return addresses.every((each) => each === address);
 }
--- a/src/core/keyspace/range_servers_test.ts
+++ b/src/core/keyspace/range_servers_test.ts
@@ -1,10 +1,10 @@
 import test from "ava";
 import { backendServer } from "../../../test/support/backend_server.ts";
 import { type BackendServer, Fleet } from "../fleet/index.ts";
-import { vacantRange } from "./held_range.ts";
 import type { PendingOrder } from "./order_tracker.ts";
 import { RangeServers } from "./range_servers.ts";
 import { RangeTable } from "./range_table.ts";
+import { vacantRange } from "./tracked_range.ts";
 
 const ENTRY: BackendServer = backendServer("a", {
   incarnation: 100,
--- a/src/core/keyspace/range_table.ts
+++ b/src/core/keyspace/range_table.ts
@@ -1,6 +1,7 @@
 /**
- * All ranges of one service at the term holder. Each change has a number, the
- * revision, which shows whether a range is recorded in the store.
+ * All ranges of one service at the term holder. Each change gets a number, the
+ * revision. A range is recorded if the store has confirmed a write that
+ * contains its revision.
  *
  * @module
  */
@@ -11,7 +12,7 @@
   KEY_COUNT,
   type KeyRange,
 } from "./assignment.ts";
-import { type HeldRange, vacantRange } from "./held_range.ts";
+import { type TrackedRange, vacantRange } from "./tracked_range.ts";
 
 /** Ranges of one service; see the module's comment. */
 export class RangeTable {
@@ -22,7 +23,7 @@
 
   private constructor(
     readonly service: string,
-    public ranges: HeldRange[],
+    public ranges: TrackedRange[],
   ) {}
 
   /** Creates a table in which no server holds a key. */
@@ -32,9 +33,9 @@
   }
 
   /**
-   * Restores the ranges that an older term holder recorded. Their servers have
-   * to be granted the keys again. A server that does not answer may hold them
-   * until `predecessorEnd`.
+   * Restores the ranges that an older term holder recorded. Their servers need
+   * new grants. A server that does not answer may hold its keys until
+   * `predecessorEnd`.
    */
   static restore(
     assignment: Assignment,
@@ -43,7 +44,7 @@
     if (!coversAllKeys(assignment.ranges)) {
       throw new RangeError(`ranges of ${assignment.service} have gaps`);
     }
-    const ranges = assignment.ranges.map((each): HeldRange => {
+    const ranges = assignment.ranges.map((each): TrackedRange => {
       const range = vacantRange(each, 0);
       if (each.server === null) return range;
       range.state = "held";
@@ -57,8 +58,8 @@
   }
 
   /**
-   * Whether some range has been assigned to a server that is not recorded yet.
-   * No other change needs to outlive the term holder.
+   * Whether some range is assigned to a server that is not recorded yet. Only
+   * such changes have to be recorded for the next term holder.
    */
   get isDirty(): boolean {
     return this.ranges.some((each) =>
@@ -66,25 +67,25 @@
     );
   }
 
-  /** Whether no key was ever assigned to a server. */
+  /** Whether no key has ever been assigned to a server. */
   get isNeverAssigned(): boolean {
     return this.ranges.every(({ state, revision }) =>
       state === "vacant" && revision === 0
     );
   }
 
-  /** Numbers a change of `range` that other VMs have to know. */
-  markChanged(range: HeldRange): void {
+  /** Gives `range` the next revision after a change that other VMs need. */
+  markChanged(range: TrackedRange): void {
     this.revision += 1;
     range.revision = this.revision;
   }
 
-  /** Whether the state of `range` is recorded. */
-  isRecorded(range: HeldRange): boolean {
+  /** Whether the store has confirmed the last change of `range`. */
+  isRecorded(range: TrackedRange): boolean {
     return range.revision <= this.recordedRevision;
   }
 
-  /** Returns all ranges as they are sent to others. */
+  /** Returns all ranges as an assignment, for the store and other VMs. */
   snapshot(term: number, version: number): Assignment {
     const ranges = this.ranges.map(toAssignedRange);
     return { service: this.service, term, version, ranges };
@@ -102,8 +103,8 @@
    * Splits `piece` off `range` and returns it. The remaining keys keep their
    * state. Only for a range without an order in flight.
    */
-  split(range: HeldRange, piece: KeyRange): HeldRange {
-    const parts: HeldRange[] = [];
+  split(range: TrackedRange, piece: KeyRange): TrackedRange {
+    const parts: TrackedRange[] = [];
     if (piece.first > range.first) {
       parts.push({ ...range, last: piece.first - 1 });
     }
@@ -121,7 +122,7 @@
    * them.
    */
   mergeAdjacent(now: number): void {
-    const merged: HeldRange[] = [];
+    const merged: TrackedRange[] = [];
     for (const range of this.ranges) {
       const previous = merged.at(-1);
       if (previous === undefined || !canMerge(previous, range)) {
@@ -154,12 +155,12 @@
 }
 
 function toAssignedRange(
-  { first, last, server, address, state }: HeldRange,
+  { first, last, server, address, state }: TrackedRange,
 ): AssignedRange {
   return { first, last, server, address, isOpen: state === "held" };
 }
 
-function canMerge(a: HeldRange, b: HeldRange): boolean {
+function canMerge(a: TrackedRange, b: TrackedRange): boolean {
   const isEachHeld = a.state === "held" && b.state === "held";
   const isEachIdle = a.order === null && b.order === null;
   return isEachHeld && isEachIdle && a.server === b.server &&
--- a/src/core/keyspace/range_transitions.ts
+++ b/src/core/keyspace/range_transitions.ts
@@ -1,16 +1,16 @@
 /**
- * State transitions of ranges that have more than one cause.
+ * State transitions of ranges that several modules trigger.
  *
  * @module
  */
-import { type HeldRange, vacantRange } from "./held_range.ts";
 import type { RangeServers } from "./range_servers.ts";
 import type { RangeTable } from "./range_table.ts";
+import { type TrackedRange, vacantRange } from "./tracked_range.ts";
 
 /**
- * Delay between closing keys and requesting their release, in milliseconds, in
- * which the other VMs learn that the keys are closed. Without it, the server
- * would refuse the requests that they still send.
+ * Delay between closing keys and ordering their release, in milliseconds. In
+ * this time the other VMs receive the change. Without it, the server would
+ * refuse the requests that they still send.
  */
 export const PROPAGATION_DELAY = 5;
 
@@ -24,10 +24,10 @@
   }
 
   /**
-   * Stops sending requests for the keys. The server is then asked to release
-   * them, or, if it is lost, its lease has to expire.
+   * Closes the keys, so that VMs stop sending requests for them. The server is
+   * then ordered to release them, or, if it is lost, its lease has to expire.
    */
-  close(table: RangeTable, range: HeldRange, now: number): void {
+  close(table: RangeTable, range: TrackedRange, now: number): void {
     const isLost = this.servers.isLost(range, now);
     range.state = isLost ? "expiring" : "closing";
     range.dueAt = now + PROPAGATION_DELAY;
@@ -36,7 +36,7 @@
   }
 
   /** Marks the keys as held by no server. */
-  vacate(table: RangeTable, range: HeldRange): void {
+  vacate(table: RangeTable, range: TrackedRange): void {
     const vacant = vacantRange(range, 0);
     vacant.handover = range.handover;
     vacant.destination = range.destination;
@@ -46,12 +46,12 @@
   }
 
   /**
-   * Assigns a range that no server holds to a server, which gets a grant once
-   * this is recorded.
+   * Assigns a range that no server holds to a server. The server gets a grant
+   * once the assignment is recorded.
    */
   assign(
     table: RangeTable,
-    range: HeldRange,
+    range: TrackedRange,
     server: string,
     now: number,
   ): void {
@@ -64,10 +64,10 @@
   }
 
   /**
-   * Assigns keys to the server that is already recorded for them, so that no
-   * write to the store is needed first.
+   * Assigns keys again to the server that is recorded for them, which needs no
+   * write to the store.
    */
-  reassign(table: RangeTable, range: HeldRange, now: number): void {
+  reassign(table: RangeTable, range: TrackedRange, now: number): void {
     range.destination = null;
     range.failures = 0;
     this.assign(table, range, range.server!, now);
--- a/src/core/keyspace/record_writer.ts
+++ b/src/core/keyspace/record_writer.ts
@@ -1,6 +1,6 @@
 /**
  * Writes the assignments of a term to the store, one write at a time. An
- * unanswered write is repeated with its sequence number, so that the store
+ * unanswered write is repeated with the same sequence number, so that the store
  * applies it only once.
  *
  * @module
@@ -20,7 +20,7 @@
   sendAt: number;
 }
 
-/** Writes the records of one term; see the module's comment. */
+/** Writes the assignments of one term; see the module's comment. */
 export class RecordWriter {
   /** The unconfirmed write, or null. */
   #write: PendingWrite | null = null;
@@ -34,7 +34,8 @@
   }
 
   /**
-   * Returns the write that is due, or null. `version` is that of all tables.
+   * Returns the write that is due, or null. `version` is the version of the
+   * assignments to write.
    */
   advance(
     tables: readonly RangeTable[],
@@ -63,12 +64,12 @@
     return effect;
   }
 
-  /** Schedules the write in flight again, because its result is unknown. */
+  /** Schedules a retry of the write in flight, whose result is unknown. */
   scheduleRetry(now: number): void {
     if (this.#write !== null) this.#write.sendAt = now + RETRY_DELAY;
   }
 
-  /** Confirms the write in flight. */
+  /** Records that the store has confirmed the write in flight. */
   confirm(): void {
     for (const [table, revision] of this.#write?.revisions ?? []) {
       table.recordedRevision = revision;
--- a/src/core/keyspace/server_end_test.ts
+++ b/src/core/keyspace/server_end_test.ts
@@ -1,8 +1,9 @@
 /**
  * Keys are never freed while a server may hold them. Before the lease has
- * expired they are freed only on proof that the server has ended. Each test
- * brings a sign that proves nothing about the process that holds the keys:
- * another entry at its address, or an order that another server refused.
+ * expired they are freed only on proof that the server has ended. The tests
+ * guard against events that look like such a proof but say nothing about the
+ * process that holds the keys: another entry at its address, or an order that
+ * another server refused.
  *
  * By the registry's contract, entries may come from other writers and contain
  * anything, such as an unknown service or the address of another server.
@@ -32,8 +33,8 @@
 }
 
 /**
- * Creates a term holder with two servers, of which `a` has both halves of the
- * keys. No grant of an older term holder is outstanding.
+ * Creates a term holder with two servers, of which `a` is recorded for both
+ * halves of the keys. No lease of an older term holder is outstanding.
  */
 function createHolder() {
   const fleet = Fleet.create();
@@ -52,8 +53,8 @@
   const all = { first: 0, last: KEY_COUNT - 1 };
   holder.applyOutstandingLeases([{ service: "s", ...all, ...noRemainder }], 0);
   /**
-   * Returns the due orders by their first key. The silence of the store
-   * prevents moves for load balance.
+   * Returns the numbers of the due orders by their first key. The store has not
+   * answered for so long that no moves for load balance start.
    */
   const ordersAt = (now: number) =>
     new Map(
@@ -74,8 +75,8 @@
 }
 
 /**
- * Grants both halves at 5, then fails the orders for the lower half while the
- * upper half is renewed, until the lease of the lower half has to expire.
+ * Grants both halves at 5 ms, then lets the orders for the lower half fail while
+ * the upper half is renewed, until the lease of the lower half has to expire.
  */
 function failOrdersOfLowerHalf() {
   const context = createHolder();
@@ -88,8 +89,8 @@
     complete(orders.get(HALF), ACCEPTED, now + 5);
     complete(orders.get(0), FAILED, now + 500);
   }
-  // This step detects the loss of the lower half, whose last lease ends at
-  // 4,344.
+  // This step detects that the server of the lower half is lost. The last lease
+  // of that half ends at 4,344 ms.
   const orders = ordersAt(1_950);
   complete(orders.get(HALF), ACCEPTED, 1_955);
   return context;
@@ -103,8 +104,8 @@
 
 test("server end: a copy of a server's entry frees none of its keys", (t) => {
   const { fleet, ordersAt, owners } = failOrdersOfLowerHalf();
-  // Such as another writer may leave it: equal to the server's own but for the
-  // service.
+  // Another writer may store such an entry. It has the address of the server's
+  // own entry, but another id and service.
   const { address } = fleet.get("a")!.entry;
   fleet.apply([entry("copy", { address, service: "not named" })], [], 2_000);
   ordersAt(2_000);
@@ -116,8 +117,8 @@
   fleet.replace([], 1_900);
   const former = entry("former", { address: "a:1", incarnation: 50 });
   fleet.apply([former, entry("a"), entry("b")], [], 1_960);
-  // Its own entry expires; by the registry's contract the server may continue
-  // to serve for a while.
+  // The entry of `a` expires. By the registry's contract the server may
+  // continue to handle requests for a while.
   fleet.apply([], ["a"], 1_990);
   ordersAt(2_000);
   t.is(owners()[0], "0 a expiring");
@@ -145,8 +146,8 @@
   const first = ordersAt(0);
   complete(first.get(0), ACCEPTED, 5);
   complete(first.get(HALF), ACCEPTED, 5);
-  // The incarnation is unchanged, so it is the same process; another writer has
-  // set the address.
+  // The incarnation is unchanged, so this is the same process. Another writer
+  // has changed the address.
   fleet.apply([entry("a", { address: "b:1" })], [], 300);
   const orders = ordersAt(610);
   complete(orders.get(0), MISDIRECTED, 615);
--- a/src/core/keyspace/term_campaign.ts
+++ b/src/core/keyspace/term_campaign.ts
@@ -33,24 +33,24 @@
 /**
  * Interval between the membership calls of an observer, in milliseconds. These
  * calls only detect whether the store answers, so the interval is shorter than
- * the silence after which the store counts as lost.
+ * the time without an answer after which the store counts as unreachable.
  */
 const OBSERVER_JOIN_INTERVAL = 1_000;
 /**
- * Interval between the membership calls of an observer that receives all
- * updates of the store from the term holder, in milliseconds. Such a VM needs
- * the calls only to detect the loss of the store. In a cluster of 195 VMs, one
- * call a second from each of 177 observers would be a fifth of the cost of all
- * calls without load.
+ * Interval between the membership calls of an observer that receives the store
+ * updates from the term holder, in milliseconds. Such a VM needs the calls only
+ * to detect that it cannot reach the store. In a cluster of 195 VMs, one call a
+ * second from each of 177 observers would be a fifth of the cost of all calls
+ * to the store while there are no requests.
  */
 const UPDATED_OBSERVER_JOIN_INTERVAL = 5_000;
 /**
- * Maximum time after its start for which a VM waits to read who held the term
- * last, in milliseconds. Until then it does not know whether a fitter VM
- * exists. A VM that joins the electorate and leaves it again changes who is
- * elected: when 72 VMs started at once, this cost the first term holder its
- * term. A store that does not answer within this time is unlikely to be able to
- * elect anyone.
+ * Maximum time after its start for which a VM waits until it has read which VM
+ * was the last term holder, in milliseconds. Until then it does not know
+ * whether a fitter VM exists. A VM that joins the electorate and leaves it
+ * again can change the result of the election: when 72 VMs started at once, the
+ * first term holder lost its term because of this. A store that does not answer
+ * within this time is unlikely to be able to elect a VM.
  */
 const HOLDER_READ_TIMEOUT = 1_000;
 /**
@@ -68,7 +68,7 @@
 const SETTLING_JOIN_INTERVAL = 100;
 /**
  * Time after sending the last confirmed membership call during which the store
- * cannot have removed this VM for its silence, in milliseconds.
+ * cannot have removed this VM for a missing call, in milliseconds.
  */
 const CONFIRMED_JOIN_SAFE_TIME = 2 * JOIN_INTERVAL;
 /**
@@ -95,15 +95,15 @@
 export interface TermRecords {
   /** Newest term that was claimed. */
   term: number;
-  /** Position of the end of the record, for the conditional write. */
+  /** Position of the end of the records, for the conditional write. */
   end: number;
   assignments: Assignment[];
 }
 
 /**
- * Result of a write to the record: it is done, it was rejected because of a
- * newer term or another writer, or it has to be repeated. A repeated write has
- * no effect if the first one was done.
+ * Result of a write of records: it is done, it was rejected because of a newer
+ * term or another writer, or it has to be repeated. A repeated write has no
+ * effect if the first one was done.
  */
 export type WriteOutcome = "done" | "superseded" | "again";
 
@@ -118,7 +118,10 @@
 /** Runs the election of this VM; see the module's comment. */
 export class TermCampaign {
   #phase: Phase = { kind: "follower" };
-  /** The last term holder that this VM was, kept after its term has ended. */
+  /**
+   * State of the newest term of which this VM was the holder, kept after that
+   * term has ended; null if there is none.
+   */
   #latestHolder: TermHolder | null = null;
   #group: ElectionGroup = "observers";
   #generation = 0;
@@ -170,20 +173,21 @@
   }
 
   /**
-   * Records that the store has answered who held the term last, even if no VM
-   * did.
+   * Records that this VM has read from the store which VM was the last term
+   * holder, even if there was none.
    */
   onHolderRead(): void {
     this.#isHolderRead = true;
   }
 
-  /** The term holder if this VM is it, or null. */
+  /** State of the current term while this VM is the term holder, or null. */
   get holder(): TermHolder | null {
     return this.#phase.kind === "leading" ? this.#phase.holder : null;
   }
 
   /**
-   * Whether this VM has left the election for good because it is about to stop.
+   * Whether this VM has left the election permanently because it is about to
+   * stop.
    */
   get isRetired(): boolean {
     return this.#isRetired;
@@ -260,9 +264,9 @@
     this.#latestHolder = holder;
     this.#phase = { kind: "leading", holder };
     const formerTerm = records.term;
-    // VMs that read this on their start do not become candidates if they are
-    // less fit than the fittest known VM, which may be another one than this
-    // term holder.
+    // VMs read the announced fitness when they start, and do not become
+    // candidates if theirs is clearly lower. The fittest known VM may be
+    // another one than this term holder.
     const fitness = this.fittest(now);
     return [{ kind: "holder.announce", term, formerTerm, fitness }];
   }
@@ -293,8 +297,8 @@
 
   /**
    * Takes all steps that are due. `hasHolderUpdates` tells whether this VM
-   * receives the updates of the store from the term holder, so that it need not
-   * call often itself, and `isTimerEvent` whether this step handles a timer
+   * receives the store updates from the term holder, so that it need not call
+   * the store often, and `isTimerEvent` whether this step handles a timer
    * event.
    */
   advance(
@@ -345,9 +349,9 @@
   }
 
   /**
-   * Ends the authority of this VM, since another VM has claimed `term`. Returns
-   * the leases that servers may still hold by this VM's grants, or null if it
-   * was not the holder of `formerTerm` or `term` is not newer.
+   * Ends the authority of this VM because another VM has claimed `term`.
+   * Returns the leases that servers may still have from this VM's grants, or
+   * null if this VM was not the holder of `formerTerm` or `term` is not newer.
    */
   yieldTo(
     term: number,
@@ -363,10 +367,10 @@
   }
 
   /**
-   * Drops the term after the clock may have jumped ahead. Servers may then hold
-   * keys for longer than this VM's clock shows, so all lease ends that it
-   * computed are invalid. The successor, which may be this VM, assumes the
-   * longest possible leases.
+   * Gives up the term because the clock may have jumped ahead. Servers may then
+   * hold keys for longer than this VM's clock shows, so all lease ends that it
+   * has computed are invalid. The next term holder, which may be this VM again,
+   * assumes the longest possible leases.
    */
   onClockJumped(): void {
     this.#phase = { kind: "follower" };
@@ -376,7 +380,7 @@
     this.#joinDueAt = -Infinity;
   }
 
-  /** Leaves the election for good, since the process is about to stop. */
+  /** Leaves the election permanently because the process is about to stop. */
   retire(): KeyspaceEffect[] {
     this.#isRetired = true;
     this.#phase = { kind: "follower" };
@@ -385,18 +389,18 @@
 
   /**
    * Whether it is certain that no other VM has claimed a term. The store elects
-   * another member when the elected one calls, leaves or is silent for too
+   * another member when the elected one calls, leaves or has not called for too
    * long, so an unanswered call may have caused a new election.
    */
   #isUncontested(now: number): boolean {
-    const callEnd = (this.#unansweredSince ?? now) + PENDING_JOIN_SAFE_TIME;
-    return now < this.#confirmedAt + CONFIRMED_JOIN_SAFE_TIME && now < callEnd;
+    const safeEnd = (this.#unansweredSince ?? now) + PENDING_JOIN_SAFE_TIME;
+    return now < this.#confirmedAt + CONFIRMED_JOIN_SAFE_TIME && now < safeEnd;
   }
 
   /**
-   * Joins the group that this VM belongs to now. To leave the electorate it
-   * makes an explicit call, because the store could still elect a member that
-   * has only stopped calling.
+   * Switches to the group that this VM should belong to now. It leaves the
+   * electorate by an explicit call, because the store could still elect a
+   * member that has only stopped calling.
    */
   #chooseGroup(now: number): KeyspaceEffect[] {
     const isElected = this.#phase.kind !== "follower";
@@ -428,9 +432,9 @@
   #settle(generation: number, now: number): void {
     const phase = this.#phase;
     const isNew = phase.kind === "follower";
-    const hasMoved = phase.kind === "settling" &&
+    const hasGroupChanged = phase.kind === "settling" &&
       phase.generation !== generation;
-    if (isNew || hasMoved) {
+    if (isNew || hasGroupChanged) {
       this.#phase = { kind: "settling", since: now, generation };
     }
   }
--- a/src/core/keyspace/term_campaign_test.ts
+++ b/src/core/keyspace/term_campaign_test.ts
@@ -22,12 +22,12 @@
   return { campaign, advance };
 }
 
-// Guards against VMs that join the electorate before they know who held the
-// term last. After 72 VMs were killed at once, small VMs did so on their slow
-// restart, learned of a fitter VM and left again. Each join and leave can
-// change who is elected: the group changed 99 times, and the first term holder
-// lost its term 2.2 s after its claim.
-test("campaign: a VM becomes a candidate only after it has read who held the term", (t) => {
+// Guards against VMs that join the electorate before they have read which VM
+// was the last term holder. After 72 VMs were killed at once, small VMs did so
+// during their slow restart, then observed a fitter VM and left again. Each
+// join and leave can change which VM is elected: the group changed 99 times,
+// and the first term holder lost its term 2.2 s after its claim.
+test("campaign: a VM becomes a candidate only after it has read which VM was the last term holder", (t) => {
   const { campaign, advance } = createCampaign(0.5);
   t.deepEqual(advance(0), ["group.join observers"]);
   const membership = { generation: 1, isElected: false, sentAt: 0 };
@@ -44,7 +44,7 @@
   t.deepEqual(unread.advance(1_000), ["group.join electorate"]);
 });
 
-test("campaign: a VM that learns of a fitter one leaves the electorate with an explicit call", (t) => {
+test("campaign: a VM that observes a fitter one leaves the electorate with an explicit call", (t) => {
   const { campaign, advance } = createCampaign(0.5);
   const membership = { generation: 1, isElected: false, sentAt: 0 };
   t.deepEqual(advance(0), ["group.join observers"]);
--- a/src/core/keyspace/term_holder.ts
+++ b/src/core/keyspace/term_holder.ts
@@ -1,5 +1,6 @@
 /**
- * The term holder: assigns keys to backend servers and takes them back.
+ * The term holder: assigns keys to backend servers, grants and renews their
+ * leases, and orders servers to release keys that move.
  *
  * A range of keys changes its server only after the change is recorded in the
  * store, and after the old server has either confirmed the release or its lease
@@ -10,7 +11,6 @@
  */
 import type { Fleet } from "../fleet/index.ts";
 import { type Assignment, coversAllKeys } from "./assignment.ts";
-import type { HeldRange } from "./held_range.ts";
 import type { KeyLoads } from "./key_load.ts";
 import { KeyRebalancer } from "./key_rebalancer.ts";
 import type { KeyspaceEffect, OrderOutcome } from "./keyspace_effect.ts";
@@ -23,6 +23,7 @@
 import { RangeTable } from "./range_table.ts";
 import { PROPAGATION_DELAY, RangeTransitions } from "./range_transitions.ts";
 import { RecordWriter } from "./record_writer.ts";
+import type { TrackedRange } from "./tracked_range.ts";
 
 /**
  * Largest piece into which the keys of a lost server are divided, as a share of
@@ -36,14 +37,15 @@
  */
 const STORE_WAIT_TIMEOUT = 120;
 /**
- * Time after such a return of keys during which no move for load balance
- * starts, in milliseconds. A slow store stays slow for seconds, and each
- * attempt to move keys delays their requests.
+ * Time for which no move for load balance starts after released keys had to be
+ * granted again to their former server, in milliseconds. A slow store stays
+ * slow for seconds, and each attempt to move keys delays their requests.
  */
 const REBALANCE_BACKOFF = 2_000;
 /**
- * Silence of the store, in milliseconds, above which no move for load balance
- * starts: released keys could not be assigned again.
+ * Time without an answer from the store, in milliseconds, after which no move
+ * for load balance starts, because released keys could not be assigned to
+ * another server.
  */
 const MAX_STORE_SILENCE_FOR_MOVES = 700;
 
@@ -84,8 +86,8 @@
   }
 
   /**
-   * Continues from the recorded assignments. By `now` the store must reject all
-   * writes of older terms.
+   * Creates a term holder that continues from the recorded assignments. From
+   * `now` on, the store must reject all writes of older terms.
    */
   static create(
     term: number,
@@ -105,7 +107,10 @@
     return holder;
   }
 
-  /** Number of changes so far. It is sent to the other VMs when it grows. */
+  /**
+   * Number of changes to the assignments in this term. When it grows, the
+   * changes are sent to the other VMs.
+   */
   get version(): number {
     let changes = 0;
     for (const table of this.#tables.values()) changes += table.revision;
@@ -120,7 +125,7 @@
     return this.#orders.isLimitReached;
   }
 
-  /** Whether released keys wait for an answer of the store. */
+  /** Whether released keys wait for an answer from the store. */
   get isAwaitingStore(): boolean {
     return this.#allTables.some(({ ranges }) =>
       ranges.some(({ state }) => state === "released")
@@ -135,9 +140,9 @@
   }
 
   /**
-   * Returns the leases that servers may hold by grants of this term holder and
-   * by those that it inherited. Valid only for a term holder that sends no more
-   * orders.
+   * Returns the leases that servers may still have from grants of this term
+   * holder or of earlier ones. They are valid only if this term holder sends no
+   * more orders.
    */
   outstandingLeases(now: number): OutstandingLease[] {
     return this.#allTables.flatMap(({ service, ranges }) =>
@@ -192,17 +197,18 @@
   }
 
   /** Returns the ranges of a service, for operators. */
-  ranges(service: string): readonly HeldRange[] {
+  ranges(service: string): readonly TrackedRange[] {
     return this.#tables.get(service)?.ranges ?? [];
   }
 
   /**
-   * Takes all steps that are due.
+   * Takes all steps that are due for `services`.
    *
    * `authorityEnd` is the time until which orders may be sent, and
-   * `storeSilence` the time for which the store has not answered. `mayConnect`
-   * tells whether it is certain that no other VM has claimed a term, and
-   * `isTimerEvent` whether this step handles a timer event.
+   * `storeSilence` is the time for which the store has not answered, in
+   * milliseconds. `mayConnect` tells whether it is certain that no other VM has
+   * claimed a term, so that orders may open connections, and `isTimerEvent`
+   * tells whether this step handles a timer event.
    */
   advance(
     services: readonly string[],
@@ -262,7 +268,7 @@
 
   #advanceRange(
     table: RangeTable,
-    range: HeldRange,
+    range: TrackedRange,
     now: number,
     hold: number,
     storeSilence: number,
@@ -303,16 +309,17 @@
   }
 
   /**
-   * Frees the keys of a released range for another server, or grants them again
-   * to their former server.
+   * Frees the keys of a released range for another server, or, if the store
+   * does not answer, grants them again to their former server.
    *
    * Until a write that names another server is sent, the former server is still
-   * the recorded one. After that only the store knows which server is recorded,
-   * so the keys would have to wait until an outage of the store ends.
+   * the recorded one. Once such a write is sent, its result is unknown until
+   * the store answers, so the keys would have to wait until an outage of the
+   * store ends.
    */
   #advanceReleased(
     table: RangeTable,
-    range: HeldRange,
+    range: TrackedRange,
     now: number,
     hold: number,
     storeSilence: number,
@@ -330,7 +337,7 @@
   /** Grants keys again to the server that is recorded for them. */
   #regrant(
     table: RangeTable,
-    range: HeldRange,
+    range: TrackedRange,
     now: number,
     hold: number,
   ): void {
@@ -339,31 +346,31 @@
   }
 
   /**
-   * Whether the server of a held range is lost or the range has to leave it.
+   * Whether the server of a held range is lost or has to release the range.
    */
-  #isCloseDue(range: HeldRange, now: number): boolean {
+  #isCloseDue(range: TrackedRange, now: number): boolean {
     return this.#servers.isLost(range, now) ||
       this.#servers.isReleaseDue(range, now);
   }
 
   /**
    * Checks whether the server of an expiring range still listens at its
-   * address. Only its answer is proof: the other server that is listed at the
-   * address may have been there earlier, and may have ended too. The check is a
-   * release order, because it grants keys to nobody.
+   * address. The entry of another server at the address proves nothing, because
+   * that server may have been there earlier and may have ended too. The check
+   * is a release order, because it grants keys to no server.
    */
-  #probe(table: RangeTable, range: HeldRange, now: number): void {
+  #probe(table: RangeTable, range: TrackedRange, now: number): void {
     if (this.#orders.isDeferred(range)) return;
     this.#effects.push(this.#orders.release(table, range, now));
   }
 
   /**
-   * Requests the release of a range, or first fences older term holders by a
-   * grant.
+   * Orders the release of a range. If its server has accepted no grant of this
+   * term yet, a grant is sent first, which fences older term holders.
    */
   #requestRelease(
     table: RangeTable,
-    range: HeldRange,
+    range: TrackedRange,
     now: number,
     hold: number,
   ): void {
@@ -374,7 +381,7 @@
 
   #grant(
     table: RangeTable,
-    range: HeldRange,
+    range: TrackedRange,
     now: number,
     hold: number,
   ): void {
@@ -398,23 +405,25 @@
       table.isNeverAssigned &&
       !this.#rebalancer.mayAssignInitially(service, now)
     ) return;
-    const candidates = this.#rebalancer
-      .candidates(service, this.#suspectedServers, now)
+    const eligible = this.#rebalancer
+      .eligibleServers(service, this.#suspectedServers, now)
       .filter(({ id }) => !this.#servers.hasEnded(id));
-    if (candidates.length === 0) return;
-    const placement = this.#rebalancer.placement(service, candidates, now);
+    if (eligible.length === 0) return;
+    const placement = this.#rebalancer.placement(service, eligible, now);
     const loads = placement.loads(table.ranges);
-    const maxPieceWeight = MAX_PIECE_SHARE / candidates.length;
+    const maxPieceWeight = MAX_PIECE_SHARE / eligible.length;
     for (const range of vacant) {
-      const isPlanned = candidates.some(({ id }) => id === range.destination);
-      const pieces = isPlanned
+      const isDestinationEligible = eligible.some(({ id }) =>
+        id === range.destination
+      );
+      const pieces = isDestinationEligible
         ? [range]
         : placement.split(range, maxPieceWeight);
       let rest = range;
       for (const { first, last } of pieces) {
         const piece = table.split(rest, { first, last });
         rest = table.ranges[table.ranges.indexOf(piece) + 1] ?? piece;
-        const server = isPlanned
+        const server = isDestinationEligible
           ? range.destination
           : placement.choose(loads, piece);
         this.#transitions.assign(table, piece, server!, now);
@@ -431,7 +440,7 @@
     }
   }
 
-  /** Servers that should get no more keys for now. */
+  /** Ids of servers that should get no more keys for now. */
   get #suspectedServers(): Set<string> {
     return this.#servers.suspectedServers(
       this.#allTables.flatMap(({ ranges }) => ranges),
@@ -468,10 +477,10 @@
 }
 
 /**
- * Returns the ranges in ascending order of their due time. A step can send only
- * some of the due orders, and this order keeps any range from waiting forever.
+ * Returns the ranges in ascending order of their due times. A step can send
+ * only some of the due orders, and this sequence prevents starvation of ranges.
  */
-function sortByDueTime(ranges: readonly HeldRange[]): HeldRange[] {
+function sortByDueTime(ranges: readonly TrackedRange[]): TrackedRange[] {
   return [...ranges].sort((a, b) => a.dueAt - b.dueAt);
 }
 
--- a/src/core/keyspace/term_holder_test.ts
+++ b/src/core/keyspace/term_holder_test.ts
@@ -23,8 +23,8 @@
 }
 
 /**
- * Creates a term holder with two servers, of which `a` has all keys and should
- * release half of them.
+ * Creates a term holder with two servers, of which `a` is recorded for all keys
+ * and should release half of them.
  */
 function createHolder() {
   const fleet = Fleet.create();
@@ -62,7 +62,7 @@
       );
     }
   };
-  /** Runs a move until its first release is answered, at 400. */
+  /** Runs a move until its first release is answered, at 400 ms. */
   const startMove = (): string[] => {
     const effects: KeyspaceEffect[] = [];
     for (const now of [0, 20, 350]) {
@@ -159,7 +159,8 @@
   const unanswered: { order: number; at: number }[] = [];
   for (let now = 0; now <= end; now += 50) {
     onStep(now);
-    // The silence of the store prevents moves for load balance.
+    // The store has not answered for so long that no moves for load balance
+    // start.
     for (const effect of advance(now, 800)) {
       if (!("order" in effect)) continue;
       if (effect.server === "a" && now > 0) {
@@ -259,7 +260,7 @@
   accept(advance(0, 800), 5);
   const restart = (incarnation: number, now: number) =>
     fleet.apply([{ ...fleet.get("a")!.entry, incarnation }], [], now);
-  // The first known incarnation is no sign of a restart.
+  // The first known incarnation does not indicate a restart.
   restart(7, 10);
   t.deepEqual(advance(20, 800), []);
   accept(advance(610, 800), 615);
@@ -353,7 +354,7 @@
     largest = Math.max(largest, orders.length);
     for (const { order, first } of orders) {
       granted.set(first, (granted.get(first) ?? 0) + 1);
-      // No connection was opened in time, so the order is due again at once.
+      // No connection was opened in time, so the order has to be created again.
       const isWithheld = first < 30 * size && now < 100;
       const outcome = isWithheld
         ? { kind: "withheld" } as const
--- a/src/core/keyspace/held_range.ts
+++ b/src/core/keyspace/tracked_range.ts
@@ -1,5 +1,5 @@
 /**
- * One range of keys as the term holder manages it.
+ * State of one range of keys at the term holder.
  *
  * ```
  * vacant -> assigned -> held -> closing -> released -> vacant
@@ -9,9 +9,10 @@
  *              +---> expiring <----+      (no answer: wait for the lease to end)
  * ```
  *
- * A range in any state becomes `vacant` if another server answers at the
- * address of its server. While an unresponsive server's lease expires, the
- * server is asked once more if another server is listed at its address.
+ * A range in any state becomes `vacant` if another server refuses an order at
+ * the address of the range's server and this proves that the process that held
+ * the keys has ended. While the lease of an unresponsive server runs out, the
+ * server is probed if another server is listed at its address.
  *
  * @module
  */
@@ -26,12 +27,12 @@
   /** A server holds the keys and its grant is renewed. */
   | "held"
   /**
-   * The release of the keys is due. Requests are no longer sent to the server.
+   * The server is to release the keys. Requests are no longer sent to it.
    */
   | "closing"
   /**
-   * The server has released the keys and is still the recorded one. Another one
-   * can be recorded once the store is known to answer.
+   * The server has released the keys but is still recorded as their server.
+   * Another one can be recorded once the store is known to answer.
    */
   | "released"
   /** The server did not answer. Its lease has to expire. */
@@ -41,7 +42,7 @@
  * One range; see the module's comment. Times are those of the term holder's
  * clock.
  */
-export interface HeldRange extends KeyRange {
+export interface TrackedRange extends KeyRange {
   state: RangeState;
   /** The only server that may hold the keys. */
   server: string | null;
@@ -59,7 +60,10 @@
    * rejects those of older term holders.
    */
   isFenced: boolean;
-  /** Text from the last server for the next one, which shortens its warm-up. */
+  /**
+   * Text from the previous server for the next one, which shortens its warm-up,
+   * or null.
+   */
   handover: string | null;
   /** Latest time at which the lease of an answered grant can end. */
   leaseEnd: number;
@@ -77,7 +81,7 @@
   dueAt: number;
   /** Number of consecutive orders without an answer. */
   failures: number;
-  /** When the first of them failed. */
+  /** When the first of these orders failed. */
   failingSince: number;
   /** Number of the order in flight, or null. */
   order: number | null;
@@ -85,7 +89,7 @@
   orderEndedAt: number;
   /** Whether the last order was withheld for lack of a connection. */
   isLastOrderWithheld: boolean;
-  /** Since when requests for the keys have to wait; 0 if they do not. */
+  /** Time since which requests for the keys have to wait; 0 if they do not. */
   closedAt: number;
   /** When the server released the keys. */
   releasedAt: number;
@@ -96,7 +100,7 @@
 }
 
 /** Creates a range that no server holds. */
-export function vacantRange(range: KeyRange, revision: number): HeldRange {
+export function vacantRange(range: KeyRange, revision: number): TrackedRange {
   return {
     first: range.first,
     last: range.last,
