--- a/src/core/fleet/backend_server.ts
+++ b/src/core/fleet/backend_server.ts
@@ -10,8 +10,8 @@
   /** Identifies the server across restarts; id and incarnation together identify one
    * process of it. */
   id: z.string().min(1),
-  /** When this process started, in Unix milliseconds of the server's clock; 0 if it does
-   * not report that. Compared for equality only, since clocks can step back. */
+  /** When this process started, in Unix milliseconds of the server's clock; 0 if the
+   * server does not report it. Compared for equality only, since clocks can step back. */
   incarnation: z.number().int().nonnegative(),
   service: z.string().min(1),
   address: z.string().min(1),
@@ -20,16 +20,19 @@
   slots: z.number().int().positive(),
   /** Whether it is shutting down and accepts no new requests. */
   isDraining: z.boolean(),
-  /** Remaining time for which it is slow after its start, in milliseconds. */
+  /** Remaining time of its warm-up, during which it is slow, in milliseconds. */
   warmUp: z.number().nonnegative(),
 });
 
 /** See {@linkcode backendServerSchema}. */
 export type BackendServer = z.infer<typeof backendServerSchema>;
 
-/** Load that a server reports with a response: numbers of requests. */
+/** Load that a server reports with a response. */
 export interface ReportedLoad {
+  /** Number of requests that it runs. */
   running: number;
+  /** Number of requests in its queue. */
   waiting: number;
+  /** Maximum number of requests that it runs concurrently. */
   slots: number;
 }
--- a/src/core/fleet/evacuations.ts
+++ b/src/core/fleet/evacuations.ts
@@ -1,9 +1,9 @@
 /**
  * Availability zones that operators have evacuated. Their servers receive no requests
- * until the evacuation is undone.
+ * until the zone is restored.
  *
- * A VM reads evacuations from the store's feed, or receives them from the term holder
- * if it does not read the feed itself. Both sources carry a position in the feed; the
+ * A VM reads evacuations from a feed in the store, or receives them from the term holder
+ * if it does not read the feed itself. Both sources state a position in the feed; the
  * state at the later position applies.
  *
  * @module
@@ -12,7 +12,7 @@
 
 /** Maximum length of an availability zone's name, in characters. */
 const MAXIMUM_NAME_LENGTH = 255;
-/** Maximum number of evacuated zones; limits memory if an operator's input is wrong. */
+/** Maximum number of evacuated zones. It limits memory if operators' input is wrong. */
 const MAXIMUM_ZONES = 256;
 
 /** Schema of {@linkcode EvacuationSnapshot}. */
@@ -28,33 +28,35 @@
 
 /** The result of a read of the feed. */
 export interface EvacuationRead {
+  /** Position in the feed up to which it was read. */
   position: number;
+  /** Evacuated zones: the new ones, or all. */
   evacuated: readonly string[];
-  /** Zones whose evacuation was undone. */
+  /** Zones that were restored. */
   restored: readonly string[];
   /** Whether `evacuated` lists all evacuated zones. */
   isWhole: boolean;
 }
 
-/** Zones that became evacuated, and zones whose evacuation ended. */
+/** Zones that were newly evacuated, and zones that were restored. */
 export interface EvacuationChange {
   evacuated: string[];
   restored: string[];
 }
 
-/** See the module's comment. */
+/** The evacuated zones as known to this VM; see the module's comment. */
 export class Evacuations {
   #zones: ReadonlySet<string> = new Set();
   #position = -1;
 
   private constructor() {}
 
-  /** Starts without evacuated zones. */
+  /** Creates an instance without evacuated zones. */
   static create(): Evacuations {
     return new Evacuations();
   }
 
-  /** Position in the feed of the known state, or -1 before the first one. */
+  /** Position in the feed of the known state, or -1 while none is known. */
   get position(): number {
     return this.#position;
   }
@@ -64,6 +66,7 @@
     return this.#zones.has(zone);
   }
 
+  /** The evacuated zones. */
   get zones(): string[] {
     return [...this.#zones];
   }
@@ -74,7 +77,7 @@
     return position < 0 ? null : { position, zones };
   }
 
-  /** Applies the result of a read of the feed. */
+  /** Applies the result of a read of the feed, unless a later state is known. */
   applyRead(read: EvacuationRead): EvacuationChange {
     const { position, evacuated, restored, isWhole } = read;
     if (position < this.#position) return { evacuated: [], restored: [] };
@@ -85,7 +88,7 @@
     return this.#replace(position, zones);
   }
 
-  /** Applies the state that another VM sent. */
+  /** Applies the state that another VM sent, unless a later one is known. */
   applySnapshot({ position, zones }: EvacuationSnapshot): EvacuationChange {
     if (position <= this.#position) return { evacuated: [], restored: [] };
     return this.#replace(position, zones);
--- a/src/core/fleet/fleet.ts
+++ b/src/core/fleet/fleet.ts
@@ -1,5 +1,5 @@
 /**
- * The backend servers that the registry lists, with this VM's state of each.
+ * The backend servers that the registry lists, with this VM's observations of each.
  *
  * @module
  */
@@ -62,16 +62,17 @@
   server: BackendServer;
 }
 
-/** See the module's comment. */
+/** The listed backend servers; see the module's comment. */
 export class Fleet {
   /** Zones whose servers receive no requests. */
   readonly evacuations = Evacuations.create();
   readonly #servers = new Map<string, TrackedServer>();
   readonly #byService = new Map<string, TrackedServer[]>();
   readonly #joinedAt = new Map<string, number>();
-  /** Ids of servers that are known only from other VMs, without a registry position. */
+  /** Ids of servers that are known only from other VMs and were not yet found in the
+   * registry. */
   readonly #unconfirmed = new Set<string>();
-  /** Times of deferred removals, by the server's id. */
+  /** When deferred removals are due, by the server's id. */
   readonly #deferredRemovals = new Map<string, number>();
   readonly #meanLatencies = new Map<
     string,
@@ -81,7 +82,7 @@
 
   private constructor() {}
 
-  /** An empty list. */
+  /** Creates a fleet without servers. */
   static create(): Fleet {
     return new Fleet();
   }
@@ -91,7 +92,7 @@
     this.#registryRecoveredAt = now;
   }
 
-  /** Applies evacuations that started or ended. */
+  /** Marks the servers of zones that were evacuated or restored. */
   applyEvacuations(
     { evacuated, restored }: EvacuationChange,
     now: number,
@@ -103,8 +104,8 @@
     }
   }
 
-  /** Applies new and changed entries, removals, and ids of servers whose entry became
-   * unreadable. */
+  /** Applies new and changed `entries`, `removed` server ids, and ids of servers whose
+   * entry became `unreadable`. Returns the resulting changes to the list. */
   apply(
     entries: readonly BackendServer[],
     removed: readonly string[],
@@ -121,11 +122,11 @@
   /**
    * Applies entries that another VM sent without a position in the registry.
    *
-   * Without a position the order of two incarnations is unknown, so an entry of another
-   * incarnation than the listed one is ignored: returning to an older incarnation would
-   * discard the state of the newer one, whereas a missed newer one is corrected by the
-   * next read. It is also unknown whether the server was removed in the meantime. A
-   * pending removal therefore stays pending, and a server that was not listed has to be
+   * Without a position, the order of two incarnations is unknown. An entry of another
+   * incarnation than the listed one is therefore ignored: if it were older, the state of
+   * the newer one would be discarded; if it is newer, the next read of the registry finds
+   * it. It is also unknown whether the server was removed in the meantime. A deferred
+   * removal therefore stays in force, and a server that was not listed has to be
    * confirmed by {@linkcode confirmPeerEntries}.
    */
   applyPeerEntries(
@@ -143,8 +144,9 @@
     return this.apply(usable, [], now);
   }
 
-  /** Checks the servers that are known only from other VMs once the registry has been
-   * read again. Unlisted ones are removed after a delay, unless an entry follows. */
+  /** Checks the servers that are known only from other VMs, once the registry has been
+   * read again. Those that the registry does not list are removed after a delay, unless
+   * an entry is read by then. */
   confirmPeerEntries(isListed: (id: string) => boolean, now: number): void {
     for (const id of this.#unconfirmed) {
       if (!isListed(id)) this.#removeLater(id, now);
@@ -175,10 +177,12 @@
     return changes;
   }
 
+  /** All listed servers. */
   all(): TrackedServer[] {
     return [...this.#servers.values()];
   }
 
+  /** Returns a listed server, or undefined. */
   get(id: string): TrackedServer | undefined {
     return this.#servers.get(id);
   }
@@ -188,7 +192,7 @@
     return this.#byService.get(service) ?? [];
   }
 
-  /** Returns this VM's samples of a service's servers since the last call. */
+  /** Returns this VM's latency samples of a service's servers since the last call. */
   takeSamples(service: string, now: number): ServerSamples[] {
     return this.serversOf(service).flatMap((server) => {
       const samples = server.takeSamples(now);
@@ -196,7 +200,7 @@
     });
   }
 
-  /** Adds samples that another VM measured. */
+  /** Adds latency samples that another VM measured. */
   addPeerSamples(samples: readonly ServerSamples[], now: number): void {
     for (const { server, ...each } of samples) {
       this.#servers.get(server)?.addPeerSamples(each, now);
@@ -212,48 +216,50 @@
 
   /** Returns the rate limits that servers reported to this VM since the last call. */
   takeUnsentRateLimits(now: number): ServerRateLimit[] {
-    return this.all().flatMap(({ id, rateLimit: rate }) => {
-      const report = rate.takeUnsent(now);
+    return this.all().flatMap(({ id, rateLimit }) => {
+      const report = rateLimit.takeUnsent(now);
       return report === null ? [] : [{ server: id, ...report }];
     });
   }
 
-  /** All recently reported rate limits, including those that have ended. */
+  /** Returns all recent rate limit reports, including those that a limit has ended. */
   reportedRateLimits(now: number): ServerRateLimit[] {
-    return this.all().flatMap(({ id, rateLimit: rate }) => {
-      const report = rate.latestReport(now);
+    return this.all().flatMap(({ id, rateLimit }) => {
+      const report = rateLimit.latestReport(now);
       return report === null ? [] : [{ server: id, ...report }];
     });
   }
 
-  /** Applies rate limits that servers reported to other VMs; returns the changes. */
+  /** Applies rate limits that servers reported to other VMs. Returns those that came into
+   * force or ended. */
   applyPeerRateLimits(
-    rates: readonly ServerRateLimit[],
+    rateLimits: readonly ServerRateLimit[],
     now: number,
   ): ServerRateLimitChange[] {
-    return rates.flatMap(({ server: id, ...report }) => {
+    return rateLimits.flatMap(({ server: id, ...report }) => {
       const server = this.#servers.get(id);
       const change = server?.rateLimit.applyPeerReport(report, now) ?? null;
       return change === null ? [] : [{ server: server!, change }];
     });
   }
 
-  /** When a server last joined a service, or -Infinity. A restarted server counts as
-   * joined, since it owns no keys. */
+  /** Returns when a server last joined a service, or -Infinity. A restarted server counts
+   * as newly joined, since it holds no keys. */
   joinedAt(service: string): number {
     return this.#joinedAt.get(service) ?? -Infinity;
   }
 
-  /** Whether a server other than `id` is listed at `address`. It may be an earlier user
-   * of the address, since entries of servers that have ended remain for a while. */
-  isReused(address: string, id: string): boolean {
+  /** Whether a server other than `id` is listed at `address`. That server may have ended
+   * already, since entries remain listed for a while. */
+  isAddressReused(address: string, id: string): boolean {
     for (const server of this.#servers.values()) {
       if (server.entry.address === address && server.id !== id) return true;
     }
     return false;
   }
 
-  /** Mean of the known latencies of a service's servers, in milliseconds. */
+  /** Returns the mean of the known latencies of a service's servers, in milliseconds; 0
+   * if none is known. */
   meanLatency(service: string, now: number): number {
     const known = this.#meanLatencies.get(service);
     if (known !== undefined && now < known.until) return known.latency;
@@ -291,8 +297,8 @@
       return;
     }
     const wasDraining = known.entry.isDraining;
-    // A process never returns from draining: such an entry is a delayed heartbeat, and
-    // requests would be sent to a server that is shutting down.
+    // A process never stops draining. An entry that states otherwise is a delayed
+    // heartbeat; with it, requests would be sent to a server that is shutting down.
     const isDraining = entry.isDraining || wasDraining;
     known.update({ ...entry, isDraining }, now);
     if (isDraining && !wasDraining) {
@@ -324,8 +330,8 @@
     if (this.#servers.has(id)) this.#deferredRemovals.set(id, until);
   }
 
-  /** Removes a server without a usable entry after a delay, unless one is written by
-   * then. */
+  /** Schedules the removal of a server without a usable entry. An entry that is read by
+   * then cancels it. */
   #removeLater(id: string, now: number): void {
     if (!this.#servers.has(id) || this.#deferredRemovals.has(id)) return;
     this.#deferredRemovals.set(id, now + UNREADABLE_ENTRY_TIMEOUT);
@@ -341,9 +347,9 @@
 }
 
 /**
- * Whether `next` may be an entry of the server that wrote `known`. A server never
- * changes its service, and always reports its incarnation if it did so once; any other
- * entry was written by something else.
+ * Whether the server that wrote the entry `known` may also have written `next`. A server
+ * never changes its service, and always reports its incarnation if it has done so once; a
+ * different entry comes from another writer.
  */
 function mayBeFrom(known: BackendServer, next: BackendServer): boolean {
   const hasIncarnation = next.incarnation !== 0 || known.incarnation === 0;
--- a/src/core/fleet/fleet_test.ts
+++ b/src/core/fleet/fleet_test.ts
@@ -105,7 +105,7 @@
 });
 
 test("fleet: an incarnation that was draining stays draining", (t) => {
-  // A delayed heartbeat from before the drain lists the server as ready.
+  // A delayed heartbeat from before the drain lists the server as not draining.
   const fleet = Fleet.create();
   const leaving = entry("a", { incarnation: 100, isDraining: true });
   fleet.apply([leaving], [], 0);
--- a/src/core/fleet/reported_rate_limit.ts
+++ b/src/core/fleet/reported_rate_limit.ts
@@ -7,7 +7,7 @@
  */
 import * as z from "zod";
 
-/** Shortest and longest time after which a limit that is not reported again expires, in
+/** Bounds of the time after which a limit expires that is not reported again, in
  * milliseconds. */
 const MINIMUM_LIFETIME = 10_000;
 const MAXIMUM_LIFETIME = 60_000;
@@ -19,41 +19,43 @@
 
 /** Schema of {@linkcode RateLimitReport}. */
 export const rateLimitReportSchema = z.object({
-  /** Null if the server no longer reports a limit. */
+  /** The limit, or null if the server no longer reports one. */
   requestsPerSecond: z.number().positive().nullable(),
   /** Milliseconds since the response that reported it. */
   age: z.number().nonnegative(),
 });
 
-/** The limit, or its absence, that a server has reported to any VM. */
+/** The rate limit, or its absence, that a server has reported to some VM. */
 export type RateLimitReport = z.infer<typeof rateLimitReportSchema>;
 
 /** Whether a limit came into force or ended. */
 export type RateLimitChange = "limited" | "unlimited";
 
-/** See the module's comment. Times are milliseconds of this VM's clock. */
+/** The rate limit of one server; see the module's comment. Times are milliseconds of this
+ * VM's clock. */
 export class ReportedRateLimit {
   #requestsPerSecond: number | null = null;
-  /** When the latest known response arrived, at any VM. */
+  /** When the response with the latest known report arrived, at whichever VM. */
   #respondedAt = -Infinity;
   /** When a limit was last reported. */
   #limitedAt = -Infinity;
   /** When the limit that was last reported expires. */
   #expiresAt = -Infinity;
-  /** Whether the latest report arrived at this VM and was not yet sent to others. */
+  /** Whether the latest report came to this VM and was not yet sent to other VMs. */
   #isUnsent = false;
 
   private constructor() {}
 
-  /** The state of a server that has reported no limit. */
+  /** Creates the state of a server that has reported no limit. */
   static create(): ReportedRateLimit {
     return new ReportedRateLimit();
   }
 
   /**
-   * Records the limit, or null for none, in the response to a request that was sent at
-   * `sentAt`. A response without a limit is ignored if its request was sent before the
-   * limit was last reported, since the response may predate the limit.
+   * Records the limit in the response to a request that was sent at `sentAt`, or null if
+   * the response reports none. Such a response is ignored if its request was sent before
+   * a limit was last reported, since the server may have created it before the limit
+   * applied. Returns whether a limit came into force or ended, or null.
    */
   answered(
     requestsPerSecond: number | null,
@@ -66,7 +68,8 @@
     return change;
   }
 
-  /** Applies a report that another VM received, unless it is older than the latest. */
+  /** Applies a report that another VM received, unless it is older than the latest.
+   * Returns whether a limit came into force or ended, or null. */
   applyPeerReport(
     { requestsPerSecond, age }: RateLimitReport,
     now: number,
@@ -76,19 +79,19 @@
     return this.#apply(requestsPerSecond, now - age, now);
   }
 
-  /** The limit in force, in requests per second, or null. */
+  /** Returns the limit in force, in requests per second, or null. */
   current(now: number): number | null {
     return this.#isRecent(now) ? this.#requestsPerSecond : null;
   }
 
-  /** The latest report, or null if no limit was reported recently. */
+  /** Returns the latest report, or null if the last reported limit has expired. */
   latestReport(now: number): RateLimitReport | null {
     if (!this.#isRecent(now)) return null;
     const age = Math.max(0, now - this.#respondedAt);
     return { requestsPerSecond: this.#requestsPerSecond, age };
   }
 
-  /** Returns the latest report if it arrived at this VM since the last call. */
+  /** Returns the latest report if it came to this VM since the last call, or null. */
   takeUnsent(now: number): RateLimitReport | null {
     if (!this.#isUnsent) return null;
     this.#isUnsent = false;
@@ -112,6 +115,7 @@
     return isLimited ? "limited" : "unlimited";
   }
 
+  /** Whether the last reported limit has not expired. */
   #isRecent(now: number): boolean {
     return now < this.#expiresAt;
   }
--- a/src/core/fleet/tracked_server.ts
+++ b/src/core/fleet/tracked_server.ts
@@ -10,20 +10,20 @@
 
 /** Weight of the newest sample in exponential moving averages. */
 const SAMPLE_WEIGHT = 0.2;
-/** Time constant with which the load of other VMs decays after a report, in
- * milliseconds; about the duration of a request. Also the time for which a report counts
- * as recent. */
+/** Time constant with which the assumed load from other VMs decays after a load report,
+ * in milliseconds; about the duration of a request. Also the time for which a report
+ * counts as recent. */
 const LOAD_DECAY_TIME = 300;
-/** Time for which a load report to another VM is used, in milliseconds. It is relayed by
- * the term holder, which takes half a second in each direction. */
+/** Time for which a load report to another VM is used, in milliseconds. The term holder
+ * relays such reports, which takes half a second in each direction. */
 const LOAD_REPORT_LIFETIME = 2_000;
-/** Initial pause after consecutive failures, in milliseconds; doubles with each further
- * one. */
+/** Initial pause after consecutive failures, in milliseconds. Each further failure
+ * doubles it. */
 const INITIAL_PAUSE = 300;
 /** Maximum of that pause, in milliseconds: a server that recovers is tried again within
  * this time. */
 const MAXIMUM_PAUSE = 3_000;
-/** Consecutive failures before a server is paused; a single one may be incidental. */
+/** Consecutive failures before a server is paused; a single one may be by chance. */
 const FAILURES_TO_PAUSE = 2;
 /** Lower bound of the assumed share of accepted requests, so that costs stay finite. */
 const MINIMUM_ACCEPTANCE_RATE = 0.05;
@@ -32,7 +32,7 @@
 const UNRESPONSIVE_LATENCY_FACTOR = 4;
 const MINIMUM_UNRESPONSIVE_TIME = 250;
 
-/** Load that a server reported to any VM. */
+/** Load that a server reported to some VM. */
 export interface LoadReport {
   /** Number of requests that it ran or queued. */
   requests: number;
@@ -42,18 +42,20 @@
 
 /** Latency of a server that responded to a VM, as measured by that VM. */
 export interface LatencySamples {
-  /** Mean, in milliseconds. */
+  /** Mean latency, in milliseconds. */
   mean: number;
-  /** Number of measured responses; 0 if all requests were queued at the server first. */
+  /** Number of measured responses; 0 if the server queued all requests before running
+   * them. */
   count: number;
   /** The load that it reported with the last response, if any. */
   load?: LoadReport;
 }
 
 /**
- * See the module's comment. An instance belongs to one incarnation of the server; the
- * next one gets a new instance. The outcome of an attempt that was not started here
- * belongs to the previous incarnation and is ignored.
+ * State of one backend server; see the module's comment. An instance belongs to one
+ * incarnation of the server; the next one gets a new instance. The outcome of an attempt
+ * that was not started on this instance belongs to the previous incarnation and is
+ * ignored.
  */
 export class TrackedServer {
   /** When it was first listed as draining, or null. */
@@ -62,7 +64,7 @@
   evacuatedSince: number | null = null;
   /** Until when it is cold according to its entry. */
   #coldUntil = -Infinity;
-  /** When it may have restarted and become cold without its entry showing it yet. */
+  /** When it may have restarted and become cold, which its entry may not show yet. */
   #mayBeColdSince = -Infinity;
   /** Whether the last connection to its address was refused. */
   #isConnectionRefused = false;
@@ -71,20 +73,21 @@
   /** When it last refused a request or responded with a failure. */
   refusedAt = -Infinity;
   #latency: number | null = null;
-  /** Sum and number of this VM's samples since {@linkcode takeSamples}. */
+  /** Sum and number of this VM's samples since the last {@linkcode takeSamples}. */
   #sampleSum = 0;
   #sampleCount = 0;
   #hasResponded = false;
-  /** When a VM is last known to have received a response from it. */
+  /** Latest time at which some VM is known to have received a response from it. */
   lastSeenAt = -Infinity;
   #acceptanceRate = 1;
   #consecutiveFailures = 0;
   #pausedUntil = 0;
-  /** Number of requests of other VMs at its latest load report to this VM, and the time
-   * of that report. */
+  /** Number of requests of other VMs according to its latest load report to this VM, and
+   * the time of that report. */
   #othersLoad = 0;
   #ownReportAt = -Infinity;
-  /** Number of requests in the latest load report that any VM received, and its time. */
+  /** Number of requests in the latest load report to any VM, and the time of that
+   * report. */
   #reportedRequests = 0;
   #reportedAt = -Infinity;
   #lastResponseAt = -Infinity;
@@ -95,7 +98,7 @@
 
   private constructor(public entry: BackendServer) {}
 
-  /** A server without observations. */
+  /** Creates a server without observations. */
   static create(entry: BackendServer): TrackedServer {
     return new TrackedServer(entry);
   }
@@ -125,8 +128,8 @@
     return this.entry.isDraining || this.evacuatedSince !== null;
   }
 
-  /** Sets whether its zone is evacuated. After an evacuation it may be cold, since it may
-   * have restarted in the meantime. */
+  /** Sets whether its zone is evacuated. Once the zone is restored it may be cold, since
+   * it may have restarted in the meantime. */
   setEvacuated(isEvacuated: boolean, now: number): void {
     if (isEvacuated) {
       this.evacuatedSince ??= now;
@@ -136,14 +139,15 @@
     }
   }
 
-  /** Whether it can handle only few requests: its entry says so, or it may have restarted
-   * recently, which its entry shows late. A restarted one is cold for `duration` ms. */
+  /** Whether it may be able to handle only few requests because it is warming up
+   * according to its entry, or because it may have restarted recently, which its entry
+   * shows late. A restarted server is cold for `duration` milliseconds. */
   isCold(now: number, duration: number): boolean {
     return this.#isConnectionRefused || now < this.#coldUntil ||
       now < this.#mayBeColdSince + duration;
   }
 
-  /** Whether it is cold according to its entry. */
+  /** Whether it is warming up according to its entry. */
   isWarming(now: number): boolean {
     return now < this.#coldUntil;
   }
@@ -164,7 +168,8 @@
     return this.#startedAt.has(attempt);
   }
 
-  /** Records the end of an attempt whose outcome says nothing about the server. */
+  /** Records the end of an attempt that says nothing about the server, such as a
+   * cancelled one. */
   cancelled(attempt: number): void {
     this.#endAttempt(attempt);
   }
@@ -219,7 +224,7 @@
     const mean = count === 0 ? 0 : this.#sampleSum / count;
     this.#sampleSum = 0;
     this.#sampleCount = 0;
-    // Load reports to other VMs are distributed by those VMs.
+    // Another VM that received the latest load report sends it itself.
     const isOwnLatest = this.#reportedAt === this.#ownReportAt;
     const load = isOwnLatest ? this.latestLoadReport(now) : null;
     return load === null ? { mean, count } : { mean, count, load };
@@ -250,8 +255,9 @@
   }
 
   /**
-   * Whether a request has been in flight for much longer than `meanLatency` without any
-   * response from the server since: it is unreachable, hung or very slow.
+   * Whether a request has been in flight for much longer than `meanLatency` and the
+   * server has responded to no request since it was sent: the server is unreachable, hung
+   * or very slow.
    */
   isUnresponsive(now: number, meanLatency: number): boolean {
     const limit = Math.max(
@@ -269,15 +275,16 @@
     return now - this.#ownReportAt <= LOAD_DECAY_TIME;
   }
 
-  /** Estimated number of its requests from all VMs. */
+  /** Returns the estimated number of requests from all VMs that it runs or has queued. */
   load(now: number): number {
     const age = Math.max(0, now - this.#ownReportAt);
     const others = this.#othersLoad * Math.exp(-age / LOAD_DECAY_TIME);
     return Math.max(this.inFlight + others, this.#remainingReportedLoad(now));
   }
 
-  /** Number of requests that remain of its latest load report to another VM, assuming that
-   * it has processed them since and received no new ones, as VMs avoid a full server. */
+  /** Estimates how many requests remain of those in its latest load report to another VM.
+   * It assumes that the server has processed requests since then and received no new
+   * ones, as VMs avoid a full server. */
   #remainingReportedLoad(now: number): number {
     const age = now - this.#reportedAt;
     const isOwn = this.#reportedAt <= this.#ownReportAt;
@@ -286,13 +293,13 @@
   }
 
   /**
-   * Expected response time in milliseconds for one more request, increased for a server
-   * that refuses a share of its requests.
+   * Returns the expected response time of one more request in milliseconds, increased if
+   * the server refuses or fails a share of its requests.
    */
   cost(now: number, meanLatency: number): number {
     const latency = this.#latency ?? meanLatency;
-    const pressure = Math.max(1, (this.load(now) + 1) / this.entry.slots);
-    return latency * pressure /
+    const queueingFactor = Math.max(1, (this.load(now) + 1) / this.entry.slots);
+    return latency * queueingFactor /
       Math.max(MINIMUM_ACCEPTANCE_RATE, this.#acceptanceRate);
   }
 
@@ -312,7 +319,8 @@
     this.#reportedAt = now;
   }
 
-  /** Ends an attempt; returns when it was started, or null if not on this instance. */
+  /** Ends an attempt. Returns when it was started, or null if it was not started on this
+   * instance. */
   #endAttempt(attempt: number): number | null {
     const startedAt = this.#startedAt.get(attempt);
     if (startedAt === undefined) return null;
--- a/src/core/keyspace/range_servers.ts
+++ b/src/core/keyspace/range_servers.ts
@@ -108,7 +108,7 @@
 
   /** Whether another server is listed at the address of a range. */
   isAddressReused({ address, server }: TrackedRange): boolean {
-    return address !== null && this.fleet.isReused(address, server!);
+    return address !== null && this.fleet.isAddressReused(address, server!);
   }
 
   /**
--- a/src/core/registry/registry_read.ts
+++ b/src/core/registry/registry_read.ts
@@ -11,7 +11,7 @@
   entries: BackendServer[];
   /** Ids of servers whose entries were removed. */
   removed: string[];
-  /** Ids of servers whose entries cannot be decoded; nothing else is known of them. */
+  /** Ids of servers whose entries cannot be decoded; only these ids are known. */
   unreadable: string[];
   /** Whether `entries` is the complete list rather than the changes. */
   isWhole: boolean;
--- a/src/core/registry/registry_replica.ts
+++ b/src/core/registry/registry_replica.ts
@@ -3,18 +3,20 @@
  *
  * The term holder reads the registry often and sends the changes to the other VMs, the
  * followers. A follower reads the registry only when its replica is older than allowed.
- * With eight VMs, a quarter of the calls to the store remain, and with more VMs the
- * number of reads no longer grows.
+ * With eight VMs this leaves a quarter of the calls to the store, and with more VMs the
+ * number of reads does not grow further.
  *
- * Each update carries the position that it starts from, so delayed, duplicated and
+ * Each update states the position that it starts from, so delayed, duplicated and
  * reordered updates do no harm. Positions also order the incarnations of a server: the
- * one that is listed later is the newer, since the clock that an incarnation is taken
- * from may step back.
+ * one at the later position is the newer. The incarnation itself cannot tell, since it
+ * is a time of the server's clock, which may step back.
  *
  * ```ts
- * replica.read(read, sentAt);
- * const update = replica.news(follower.position, null); // at the term holder
- * const changes = replica.take(update); // at a follower
+ * // At the term holder:
+ * replica.applyRead(read, sentAt);
+ * const update = replica.updateSince(followerPosition, null);
+ * // At a follower:
+ * const changes = replica.applyUpdate(update);
  * ```
  *
  * @module
@@ -25,8 +27,8 @@
 
 /** Pause after a failed read, in milliseconds. */
 const RETRY_PAUSE = 250;
-/** Maximum number of versions from which an update can be computed: half a minute of the
- * term holder's reads. A follower that is further behind reads the registry itself. */
+/** Maximum number of versions that are kept to compute updates: half a minute of the term
+ * holder's reads. A follower that is further behind reads the registry itself. */
 const MAXIMUM_VERSIONS = 64;
 
 const NO_CHANGES: RegistryChanges = {
@@ -35,27 +37,29 @@
   unreadable: [],
 };
 
-/** A position at which this VM knew the whole registry, with the changes since the
- * version before. */
+/** A position that this replica has had, with the changes since the previous version. */
 interface Version {
   position: number;
-  /** Ids of servers whose entry was written since the version before, even if it ended
-   * up unchanged: a VM at a position in between may have read another entry. Null if
-   * they are not known. */
+  /** Ids of servers whose entry was written since the previous version, even if it is the
+   * same again: a VM at a position in between may have read a different entry. Null if
+   * these servers are not known. */
   written: readonly string[] | null;
-  /** Ids of servers whose entry differs from the version before. */
+  /** Ids of servers whose entry differs from the previous version. */
   changed: readonly string[];
 }
 
 /** Changes to the list of servers. */
 export interface RegistryChanges {
+  /** New and changed entries. */
   entries: BackendServer[];
+  /** Ids of servers whose entry was removed. */
   removed: string[];
   /** Ids of servers whose entry became unreadable. */
   unreadable: string[];
 }
 
-/** See the module's comment. Times are milliseconds of this VM's clock. */
+/** This VM's replica; see the module's comment. Times are milliseconds of this VM's
+ * clock. */
 export class RegistryReplica {
   #position: number | null = null;
   #knownAt = -Infinity;
@@ -71,12 +75,13 @@
 
   private constructor() {}
 
-  /** An empty replica without a position. */
+  /** Creates an empty replica without a position. */
   static create(): RegistryReplica {
     return new RegistryReplica();
   }
 
-  /** Position of the replica in the registry, or null before the first read. */
+  /** Position of the replica in the registry, or null if the next read has to be
+   * complete, as before the first one. */
   get position(): number | null {
     return this.#position;
   }
@@ -91,28 +96,29 @@
     return this.#servers.has(id);
   }
 
-  /** Position at which a server's listed incarnation was first known; 0 if the server is
-   * not listed. A report on the server from a VM at an older position may be about
-   * another incarnation. */
+  /** Returns the position at which a server's listed incarnation was first known; 0 if
+   * the server is not listed. A report on the server from a VM at an older position may
+   * be about another incarnation. */
   incarnationSince(id: string): number {
     return this.#incarnationSince.get(id) ?? 0;
   }
 
-  /** When the next read is due if the replica may be `maximumAge` old. */
+  /** Returns when the next read is due if the replica may be `maximumAge` milliseconds
+   * old; Infinity while one is in flight. */
   dueAt(maximumAge: number): number {
     if (this.#isReading) return Infinity;
     return Math.max(this.#knownAt + maximumAge, this.#retryAt);
   }
 
-  /** Requests a read if one is due. */
+  /** Returns the request for a read if one is due, or null. */
   fetch(now: number, maximumAge: number): RegistryFetch | null {
     if (now < this.dueAt(maximumAge)) return null;
     this.#isReading = true;
     return { kind: "servers.fetch", from: this.#position };
   }
 
-  /** Applies the result of a read that was sent at `sentAt`. Returns false if it is older
-   * than the replica because an update arrived in the meantime. */
+  /** Applies the result of a read that was requested at `sentAt`. Returns false if it is
+   * older than the replica because an update has arrived in the meantime. */
   applyRead(read: RegistryRead, sentAt: number): boolean {
     this.#isReading = false;
     this.#knownAt = Math.max(this.#knownAt, sentAt);
@@ -127,15 +133,16 @@
     return true;
   }
 
-  /** Records a failed read; `isExpired` if the registry no longer keeps the changes since
-   * the position, so that the next read has to be complete. */
+  /** Records a failed read. `isExpired` tells whether the store no longer keeps the
+   * changes since the replica's position, so that the next read has to be complete. */
   failed(isExpired: boolean, now: number): void {
     this.#isReading = false;
     this.#retryAt = now + RETRY_PAUSE;
     if (isExpired) this.#position = null;
   }
 
-  /** Applies an update; returns null if it starts after the replica's position. */
+  /** Applies an update and returns its changes, or null if it starts after the replica's
+   * position and cannot be applied. */
   applyUpdate(update: RegistryUpdate): RegistryChanges | null {
     if (this.#position === null || update.since > this.#position) return null;
     if (update.knownAt !== null) {
@@ -148,7 +155,8 @@
 
   /**
    * Returns the changes since a position, or null if they are not known. `knownAt` is
-   * {@linkcode RegistryReplica.knownAt} of this replica by the receiver's clock.
+   * {@linkcode RegistryReplica.knownAt} of this replica by the receiver's clock; null if
+   * the receiver did not request the changes.
    */
   updateSince(since: number, knownAt: number | null): RegistryUpdate | null {
     const position = this.#position;
@@ -232,8 +240,8 @@
     return this.#servers.delete(id) || wasUnreadable;
   }
 
-  /** Marks a listed server's entry as unreadable; returns whether it was listed. Other
-   * ids are ignored, which limits memory however many are written. */
+  /** Marks a listed server's entry as unreadable and returns whether it was listed. Ids
+   * that are not listed are ignored, so that any number of them cannot exhaust memory. */
   #markUnreadable(id: string): boolean {
     if (!this.#servers.delete(id)) return false;
     this.#incarnationSince.delete(id);
@@ -242,9 +250,9 @@
   }
 }
 
-/** Whether an entry `b` is equivalent to the entry `a` before it. The remaining warm-up
- * time decreases with every heartbeat and is sent once; if it increases, the server has
- * become cold again. */
+/** Whether entry `b` need not be sent to a VM that has the previous entry `a`. The
+ * remaining warm-up time decreases with every heartbeat and is sent only once. If it
+ * increases, the server has become cold again. */
 function isEquivalent(a: BackendServer, b: BackendServer): boolean {
   return b.warmUp <= a.warmUp &&
     a.incarnation === b.incarnation && a.service === b.service &&
--- a/src/core/registry/registry_replica_test.ts
+++ b/src/core/registry/registry_replica_test.ts
@@ -174,7 +174,7 @@
   t.is(replica.incarnationSince("a"), 0);
 });
 
-test("registry: an update names unreadable entries, from whatever position", (t) => {
+test("registry: an update lists an unreadable entry until it is rewritten or removed", (t) => {
   const reader = replicaOf(10, [server("a"), server("b")]);
   const follower = replicaOf(10, [server("a"), server("b")]);
   reader.applyRead(read(12, [], [], false, ["a", "never listed"]), 100);
@@ -200,7 +200,7 @@
   t.deepEqual(reader.updateSince(16, 390)?.removed, ["a"]);
 });
 
-/** Applies changes to a list of incarnation and drain state by server id. */
+/** Applies changes to a map from server ids to {@linkcode stateOf} their entries. */
 function applyTo(
   view: Map<string, string>,
   { entries, removed, unreadable }: RegistryChanges,
@@ -209,6 +209,7 @@
   for (const entry of entries) view.set(entry.id, stateOf(entry));
 }
 
+/** Returns the incarnation and drain state of an entry as text. */
 function stateOf({ incarnation, isDraining }: BackendServer): string {
   return `${incarnation} ${isDraining}`;
 }
--- a/src/core/registry/registry_update.ts
+++ b/src/core/registry/registry_update.ts
@@ -11,11 +11,14 @@
 
 /** Schema of {@linkcode RegistryUpdate}. */
 export const registryUpdateSchema = z.object({
-  /** Position after which the changes begin; they are complete. */
+  /** Position after which the changes begin. */
   since: position,
-  /** Position of the registry after the changes. */
+  /** Position of the registry after the changes. All changes between the two positions
+   * are included. */
   position,
+  /** New and changed entries. */
   entries: z.array(backendServerSchema),
+  /** Ids of servers whose entry was removed. */
   removed: z.array(z.string()),
   /** Ids of servers whose entry became unreadable. */
   unreadable: z.array(z.string()).default([]),
@@ -24,5 +27,5 @@
   knownAt: z.number().nullable(),
 });
 
-/** See the module's comment. */
+/** Changes to the registry; see the module's comment. */
 export type RegistryUpdate = z.infer<typeof registryUpdateSchema>;
