--- a/src/core/keyspace/candidacy.ts
+++ b/src/core/keyspace/candidacy.ts
@@ -4,7 +4,7 @@
  * The term holder renews the grants of all servers and sends every change to
  * all VMs, so it needs far more bandwidth and processor time than any other VM.
  * If VMs differ, only the clearly fitter ones are candidates. The others become
- * candidates only while no fitter VM is known to be alive. Without this rule,
+ * candidates only while no fitter VM is known to run. Without this rule,
  * in a cluster of 91 VMs of which 6 had 200 Mbit/s and the others 10 Mbit/s,
  * the term changed every 6 s: the messages of a holder with a slow link delayed
  * the answers of the store to it by up to 4 s.
@@ -79,7 +79,7 @@
     return new Candidacy(fitness);
   }
 
-  /** Records that a VM of this fitness is alive. */
+  /** Records that another VM, which has this fitness, is running. */
   observe(fitness: number, now: number): void {
     if (!this.#isClearlyFitter(fitness)) return;
     if (now - this.#lastSeenAt > FITTER_VM_TIMEOUT) this.#fitterSince = now;
--- a/src/core/keyspace/placement.ts
+++ b/src/core/keyspace/placement.ts
@@ -253,8 +253,8 @@
   }
 
   /**
-   * Takes keys of up to `excess` weight from the start of `range` for the
-   * server with the least load.
+   * Proposes to move keys of up to `excess` weight from the start of `range` to
+   * the server with the least load, and updates `loads` accordingly.
    */
   #offload(
     from: string,
@@ -282,9 +282,10 @@
   }
 
   /**
-   * Moves a piece that overloads a server by itself, such as one busy key, to
-   * the server that would clearly complete its requests sooner, usually the
-   * fastest one.
+   * Chooses a destination for a piece that overloads a server by itself, such
+   * as one busy key, and updates `loads` accordingly. It is the server with the
+   * lowest load after the move, usually the fastest one. Returns null if none
+   * has a clearly lower load than the present server.
    */
   #moveIndivisible(
     from: string,
--- a/src/core/keyspace/range_servers.ts
+++ b/src/core/keyspace/range_servers.ts
@@ -96,9 +96,11 @@
   }
 
   /**
-   * Whether the server of a range is lost. An overloaded server answers orders
-   * as late as requests, so as long as any VM receives responses from it, it
-   * keeps its keys until its lease ends.
+   * Whether the server of a range is lost: it is unresponsive, and either no VM
+   * has received a response from it since the first unanswered order, or its
+   * lease has ended. An overloaded server answers orders as late as requests,
+   * so as long as any VM receives responses from it, it keeps its keys until
+   * its lease ends.
    */
   isLost(range: TrackedRange, now: number): boolean {
     if (!this.isUnresponsive(range)) return false;
--- a/src/core/keyspace/term_campaign.ts
+++ b/src/core/keyspace/term_campaign.ts
@@ -167,7 +167,7 @@
     return this.candidacy.fittest(now);
   }
 
-  /** Records the fitness of another VM that is known to be alive. */
+  /** Records the fitness of another VM that is known to run. */
   observeFitness(fitness: number, now: number): void {
     this.candidacy.observe(fitness, now);
   }
--- a/src/core/keyspace/term_holder.ts
+++ b/src/core/keyspace/term_holder.ts
@@ -26,8 +26,9 @@
 import type { TrackedRange } from "./tracked_range.ts";
 
 /**
- * Largest piece into which the keys of a lost server are divided, as a share of
- * the work of an average server. It spreads these keys over several servers.
+ * Largest weight of the pieces into which a vacant range is divided, as a share
+ * of the mean weight per server. It spreads the keys of a lost server over
+ * several servers.
  */
 const MAX_PIECE_SHARE = 0.5;
 /**
