--- a/src/core/keyspace/candidacy.ts
+++ b/src/core/keyspace/candidacy.ts
@@ -4,7 +4,7 @@
  * The term holder renews the grants of all servers and sends every change to
  * all VMs, so it needs far more bandwidth and processor time than any other VM.
  * If VMs differ, only the clearly fitter ones are candidates. The others become
- * candidates only while no fitter VM is known to be alive. Without this rule,
+ * candidates only while no fitter VM is known to run. Without this rule,
  * in a cluster of 91 VMs of which 6 had 200 Mbit/s and the others 10 Mbit/s,
  * the term changed every 6 s: the messages of a holder with a slow link delayed
  * the answers of the store to it by up to 4 s.
@@ -37,11 +37,11 @@
  */
 const MIN_FITNESS_RATIO = 1.5;
 /**
- * Time without a message about a fitter VM after which it counts as gone, in
- * milliseconds. It is twice the time in which the fit VMs elect one of
- * themselves, which is the store's timeout for a silent member (1.3 s) plus the
- * claim. With 2 s, small VMs became candidates during that election and won it
- * by their number.
+ * Time without a message about a fitter VM after which this VM assumes that
+ * there is none, in milliseconds. It is twice the time that an election among
+ * the fit VMs takes: the store's timeout for a member that does not call
+ * (1.3 s) plus the claim. With 2 s, small VMs became candidates during that
+ * election and won it by their number.
  */
 const FITTER_VM_TIMEOUT = 3_000;
 /**
@@ -69,7 +69,7 @@
    */
   #fittest = 0;
   #lastSeenAt = -Infinity;
-  /** Since when a fitter VM has been observed without a gap. */
+  /** Time since which fitter VMs have been observed without such a timeout. */
   #fitterSince = -Infinity;
 
   private constructor(readonly fitness: number) {}
@@ -79,7 +79,7 @@
     return new Candidacy(fitness);
   }
 
-  /** Records that a VM of this fitness is alive. */
+  /** Records that another VM, which has this fitness, is running. */
   observe(fitness: number, now: number): void {
     if (!this.#isClearlyFitter(fitness)) return;
     if (now - this.#lastSeenAt > FITTER_VM_TIMEOUT) this.#fitterSince = now;
