--- a/src/runtime/admin_server.ts
+++ b/src/runtime/admin_server.ts
@@ -23,7 +23,8 @@
   }
 
   /**
-   * Creates a server of `metrics` and of the status that `readStatus` returns.
+   * Creates a server that publishes `metrics` and the status that `readStatus`
+   * returns. It does not listen yet.
    */
   static create(
     metrics: EntryMetrics,
--- a/src/runtime/backend_pool.ts
+++ b/src/runtime/backend_pool.ts
@@ -23,7 +23,10 @@
 import type { EventSink } from "./entry_loop.ts";
 import { limitConnectTime } from "./http_client.ts";
 
-/** Connect timeout, in milliseconds. Hosts that are down do not respond. */
+/**
+ * Connect timeout, in milliseconds. A host that is down sends nothing, not even
+ * a refusal.
+ */
 const CONNECT_TIMEOUT = 300;
 /**
  * Maximum time for which an idle connection is kept, in milliseconds. A shorter
@@ -171,7 +174,10 @@
     request.end(outgoing.body.length > 0 ? outgoing.body : undefined);
   }
 
-  /** Checks whether a process listens at a server's address. */
+  /**
+   * Checks whether a process listens at a server's address. Pushes exactly one
+   * `server.checked`.
+   */
   probe({ server, address }: ServerProbe): void {
     const { host, port } = parseAddress(address);
     const socket = connect({ host, port });
@@ -199,7 +205,7 @@
     running.request.destroy();
   }
 
-  /** Returns and removes the response of a completed attempt. */
+  /** Returns and removes the response of an attempt; null if there is none. */
   takeResponse(attempt: number): BackendResponse | null {
     const response = this.#attempts.get(attempt)?.response ?? null;
     this.#attempts.delete(attempt);
@@ -360,7 +366,7 @@
         rateLimit: metadata.rateLimit,
       },
     });
-    // The core has processed the event by now; a response that it has not
+    // The core has processed the event by then. A response that it has not
     // taken is not needed.
     setImmediate(() => this.#attempts.delete(attempt));
   }
@@ -368,7 +374,7 @@
   #failAttempt(
     attempt: number,
     running: RunningAttempt,
-    wasSent: boolean,
+    mayHaveBeenSent: boolean,
     cause: string,
     isRefused = false,
   ): void {
@@ -381,7 +387,7 @@
       attempt,
       outcome: {
         kind: "failed",
-        mayHaveBeenSent: wasSent,
+        mayHaveBeenSent,
         isConnectionRefused: isRefused,
         cause,
       },
@@ -396,9 +402,9 @@
 }
 
 /**
- * The error of a connection whose end is about to be read, or null if the
- * server closed it in order. A reset that arrives together with the last bytes
- * is read as an orderly end, but writing zero bytes then still fails.
+ * Resolves at the end of the connection: to null if the server closed it in
+ * order, or to the error if it reset it. A reset that arrives together with the
+ * last bytes is read as an orderly end, but writing zero bytes then fails.
  */
 function detectReset(socket: Socket): Promise<Error | null> {
   return new Promise((resolve) => {
--- a/src/runtime/backend_pool_test.ts
+++ b/src/runtime/backend_pool_test.ts
@@ -33,14 +33,17 @@
   return { server, address: `127.0.0.1:${port}` };
 }
 
-/** Creates a pool whose attempts can be awaited one after the other. */
+/**
+ * Creates a pool. `send` resolves to the next outcome of any attempt; outcomes
+ * that nothing waits for are collected in `outcomes`.
+ */
 function createPool(t: ExecutionContext, address: string) {
   const outcomes: UntimedEvent[] = [];
   const waiters: ((outcome: UntimedEvent) => void)[] = [];
-  const push = (occurrence: UntimedEvent) => {
+  const push = (event: UntimedEvent) => {
     const next = waiters.shift();
-    if (next === undefined) outcomes.push(occurrence);
-    else next(occurrence);
+    if (next === undefined) outcomes.push(event);
+    else next(event);
   };
   const pool = BackendPool.create(PlatformHeaderCodec.create(), { push });
   t.teardown(() => pool.close());
@@ -82,9 +85,9 @@
   ].join("\r\n");
 }
 
-function outcomeKind(occurrence: UntimedEvent): string {
-  if (occurrence.kind !== "attempt.ended") return occurrence.kind;
-  const { outcome } = occurrence;
+function outcomeKind(event: UntimedEvent): string {
+  if (event.kind !== "attempt.ended") return event.kind;
+  const { outcome } = event;
   if (outcome.kind === "failed") {
     return outcome.mayHaveBeenSent ? "failed, sent" : "failed, not sent";
   }
@@ -98,23 +101,24 @@
 }
 
 test("backend pool: closing a server's connections does not cut requests in flight", async (t) => {
-  const heldSockets: Socket[] = [];
+  const pendingSockets: Socket[] = [];
   const { server, address } = await startServer(t, (socket, request) => {
     const id = /request-id: (\w+)/i.exec(request)![1];
     const response = responseHead(id, ["Content-Length: 2"]) + "ok";
-    if (id === "slow") heldSockets.push(socket);
+    if (id === "slow") pendingSockets.push(socket);
     else socket.write(response);
   });
   let connections = 0;
   server.on("connection", () => connections += 1);
   const { pool, send } = createPool(t, address);
-  // Outcomes are assigned in the order in which attempts end.
+  // Each promise resolves to the outcome of the attempt that ends next, so the
+  // first one to that of the second attempt.
   const firstOutcome = send("slow");
-  while (heldSockets.length === 0) await delay(1);
+  while (pendingSockets.length === 0) await delay(1);
   const secondOutcome = send("a");
   t.is(outcomeKind(await firstOutcome), "genuine");
   pool.closeConnections("server-1");
-  heldSockets[0].write(responseHead("slow", ["Content-Length: 2"]) + "ok");
+  pendingSockets[0].write(responseHead("slow", ["Content-Length: 2"]) + "ok");
   t.is(outcomeKind(await secondOutcome), "genuine");
   t.is(connections, 2);
   t.is(outcomeKind(await send("b")), "genuine");
--- a/src/runtime/caller_close_test.ts
+++ b/src/runtime/caller_close_test.ts
@@ -1,7 +1,7 @@
 /**
- * Closing callers' connections: a response that the operating system has
- * accepted but not delivered, a response to a request that already has one, and
- * a caller that disconnects in the middle of a request.
+ * Tests of closing callers' connections: with a response that the operating
+ * system has accepted but not delivered, after a request that was rejected
+ * early, and when a caller disconnects in the middle of a request.
  *
  * @module
  */
@@ -28,10 +28,10 @@
     headerTimeout: 5_000,
     idleTimeout: 5_000,
   });
-  const { server, socket, events: occurrences } = caller;
+  const { server, socket, events } = caller;
   socket.on("error", () => {});
   const count = (kind: string) =>
-    occurrences.filter((each) => each.kind === kind).length;
+    events.filter((each) => each.kind === kind).length;
   const waitUntil = async (isMet: () => boolean) => {
     const end = Date.now() + TIMEOUT;
     while (!isMet()) {
@@ -58,7 +58,7 @@
 // that closes it would have been set on the response that completed first. At
 // the close nothing is pending, although the last response is still in transit,
 // and the process exits. If the caller then sends bytes, the operating system
-// discards the data that it has not delivered.
+// discards the data that it has not delivered yet.
 test("close: a response in transit is delivered although the caller keeps sending", async (t) => {
   const { server, socket, count, waitUntil, respond, read } = await start(t);
   socket.pause();
--- a/src/runtime/caller_connection.ts
+++ b/src/runtime/caller_connection.ts
@@ -1,6 +1,6 @@
 /**
- * One caller's connection: the pending responses in the order of their
- * requests, and the graceful close after the last of them.
+ * One caller's connection: keeps the pending responses in the order of their
+ * requests, and closes the connection gracefully after the last of them.
  *
  * @module
  */
@@ -9,15 +9,16 @@
 import { monotonicNow } from "./monotonic_clock.ts";
 
 /**
- * Maximum time for which a half-closed connection is still read, in
- * milliseconds. When bytes reach a closed socket, the operating system discards
- * the data that it has not sent yet, so a caller that keeps sending would lose
- * its last response.
+ * Maximum time for which a connection is still read after its writable side has
+ * ended, in milliseconds. If it were closed at once, bytes that arrive later
+ * would make the operating system discard the data that it has not sent yet: a
+ * caller that keeps sending would lose its last response.
  */
 const LINGER_TIMEOUT = 2_000;
 
 /** A response that the operating system has not accepted completely. */
 interface PendingResponse {
+  /** Id of the request and its response. */
   exchange: number;
   response: ServerResponse;
   /** Called when the response can no longer be sent. */
@@ -27,7 +28,9 @@
 /** See the module's comment. */
 export class CallerConnection {
   readonly #pending: PendingResponse[] = [];
+  /** Whether no further requests are accepted. */
   #isEnding = false;
+  /** Whether the graceful close has started. */
   #isClosing = false;
   /** Bytes to send after the last response; empty if none. */
   #finalBytes = "";
@@ -64,12 +67,14 @@
     return this.#pending.length;
   }
 
-  /** The exchange whose response is sent last, or null if none is pending. */
+  /**
+   * Id of the exchange whose response is sent last; null if none is pending.
+   */
   get lastExchange(): number | null {
     return this.#pending.at(-1)?.exchange ?? null;
   }
 
-  /** Whether closing the socket now would cut a response. */
+  /** Whether destroying the socket now could cut off a response. */
   get isBusy(): boolean {
     return this.#pending.length > 0 || this.#isClosing;
   }
@@ -88,9 +93,9 @@
   }
 
   /**
-   * Whether nothing is sent after this response, so that it may close the
-   * connection. This depends on the order in which responses are sent, which
-   * may differ from the order in which they become available.
+   * Whether nothing is sent after the response of `exchange`, so that it may
+   * close the connection. Responses are sent in the order of their requests,
+   * which may differ from the order in which they become available.
    */
   isLast(exchange: number): boolean {
     return this.lastExchange === exchange && this.#finalBytes === "";
@@ -141,7 +146,10 @@
     for (const { onLost } of this.#pending) onLost();
   }
 
-  /** Node emits no event for responses queued behind one that was cut. */
+  /**
+   * Reports all pending responses as lost: Node emits no event for a response
+   * that is queued behind one that was cut off.
+   */
   #socketClosed(): void {
     this.#isEnding = true;
     this.#isClosing = false;
--- a/src/runtime/caller_order_test.ts
+++ b/src/runtime/caller_order_test.ts
@@ -23,7 +23,7 @@
 const PAUSE = 50;
 
 async function start(t: ExecutionContext) {
-  const { server, socket, events: occurrences, read } = await connectCaller(t, {
+  const { server, socket, events, read } = await connectCaller(t, {
     maximumHeaderBytes: 16_000,
     maximumBodyBytes: 1_000,
     headerTimeout: HEADER_TIMEOUT,
@@ -32,7 +32,7 @@
   socket.on("error", () => {});
   const ended = new Promise((resolve) => socket.once("close", resolve));
   const arrivals = () =>
-    occurrences.flatMap((each) =>
+    events.flatMap((each) =>
       each.kind === "request.arrived" ? [each.arrival] : []
     );
   const respond = (target: string) => {
@@ -53,8 +53,8 @@
     }
   };
   /**
-   * Waits for the end of the connection; returns statuses and paths in the
-   * order of the responses.
+   * Waits for the end of the connection; returns the statuses and the paths of
+   * the responses in the order in which they were received.
    */
   const readResponses = async () => {
     await Promise.race([ended, pause(TIMEOUT)]);
@@ -68,7 +68,7 @@
   return {
     server,
     socket,
-    occurrences,
+    events,
     arrivals,
     respond,
     waitForRequests,
@@ -143,7 +143,7 @@
   t.is(await readResponses(), "200 /1 408");
 });
 
-test("order: a response is sent before a close that its request asks for", async (t) => {
+test("order: a response is sent before the close that its request asked for", async (t) => {
   const { socket, respond, waitForRequests, readResponses } = await start(t);
   socket.write(get("/1", "Connection: close\r\n") + get("/2"));
   await waitForRequests("/1");
@@ -204,22 +204,22 @@
 });
 
 test("order: reports a disconnect for each pending request", async (t) => {
-  const { socket, occurrences, waitForRequests } = await start(t);
+  const { socket, events, waitForRequests } = await start(t);
   socket.write(get("/1") + get("/2") + get("/3"));
   await waitForRequests("/1", "/2", "/3");
   socket.destroy();
   await pause(2 * PAUSE);
-  const left = occurrences.filter((each) => each.kind === "request.left");
+  const left = events.filter((each) => each.kind === "request.left");
   t.is(left.length, 3);
 });
 
 test("order: a connection closes when its caller disconnects after a CONNECT request", async (t) => {
-  const { server, socket, occurrences, waitForRequests } = await start(t);
+  const { server, socket, events, waitForRequests } = await start(t);
   socket.write(`${get("/1")}CONNECT h:1 HTTP/1.1\r\nHost: h\r\n\r\n`);
   await waitForRequests("/1");
   await pause(PAUSE);
   socket.end();
   await pause(4 * PAUSE);
-  t.is(occurrences.filter(({ kind }) => kind === "request.left").length, 1);
+  t.is(events.filter(({ kind }) => kind === "request.left").length, 1);
   t.is(server.counts.connections, 0);
 });
--- a/src/runtime/caller_server.ts
+++ b/src/runtime/caller_server.ts
@@ -26,9 +26,9 @@
 import {
   BAD_REQUEST,
   BODY_TOO_LARGE,
+  canMeetExpectation,
   checkHeaders,
   EXPECTATION_FAILED,
-  isMetExpectation,
   PARSER_REJECTIONS,
   rawResponse,
   READ_TOO_LATE,
@@ -50,16 +50,17 @@
  */
 const REQUEST_TIMEOUT = 30_000;
 /**
- * Age up to which a request counts as just received, in milliseconds. The delay
- * of the event loop is not known more precisely, and servers may work for up to
- * half a second for callers that have disconnected.
+ * Age up to which a request counts as just received and keeps its whole
+ * timeout, in milliseconds. The delay of the event loop is not known more
+ * precisely, and servers may work for up to half a second for callers that have
+ * disconnected.
  */
 const MAXIMUM_FRESH_AGE = 150;
 const MILLISECONDS_PER_SECOND = 1_000;
 
 /**
- * Errors of a connection that its caller has closed, in the middle of a request
- * or between requests.
+ * Codes of the errors that occur when a caller has closed its connection, in
+ * the middle of a request or between requests.
  */
 const DISCONNECT_ERRORS = new Set(["ECONNRESET", "HPE_INVALID_EOF_STATE"]);
 
@@ -69,11 +70,16 @@
   response: ServerResponse;
   connection: CallerConnection;
   outgoing: OutgoingRequest;
+  /** When the headers of the request were read. */
   arrivedAt: number;
 }
 
-/** Observes every response, for metrics. */
+/** Records every response in the metrics. */
 export interface ResponseObserver {
+  /**
+   * Records a response to a caller; `isOwn` if plumloft itself produced it, and
+   * `milliseconds` since its request arrived.
+   */
   recordResponse(status: number, isOwn: boolean, milliseconds: number): void;
 }
 
@@ -86,7 +92,7 @@
   unanswered: number;
   /** Responses that the operating system has not accepted completely. */
   unsent: number;
-  /** Requests that were not read because their connection was closing. */
+  /** Requests that were discarded because their connection was closing. */
   notTaken: number;
   /**
    * Requests that were rejected because their deadline had passed when they
@@ -174,9 +180,9 @@
 
   /**
    * Accepts no new connections or requests. Idle connections are closed, others
-   * end after their pending responses. Without this, the connection of a caller
-   * that always sends its next request before the response would never end.
-   * When no response is pending, pushes `callers.closed` to the loop.
+   * after their pending responses. Without this, the connection of a caller
+   * that always sends its next request before the response would never close.
+   * Pushes `callers.closed` as soon as no response is pending.
    */
   close(): void {
     this.#isDraining = true;
@@ -215,7 +221,10 @@
     if (this.#isClosed) connection.end();
   }
 
-  /** The process may stop once no pending request or response would be cut. */
+  /**
+   * Pushes `callers.closed` once the process may stop without cutting off a
+   * request or response.
+   */
   #reportClosed(): void {
     if (!this.#isClosed || this.#isClosedReported) return;
     for (const { isBusy } of this.#connections.values()) if (isBusy) return;
@@ -231,13 +240,13 @@
     return this.#exchanges.get(exchange)?.outgoing;
   }
 
-  /** Forwards a server's response. */
+  /** Forwards a server's response to the caller. */
   deliver(exchange: number, response: BackendResponse): void {
     const { status, statusText, headers, body } = response;
     this.#respond(exchange, status, statusText, headers, body, false);
   }
 
-  /** Sends a response of plumloft itself. */
+  /** Sends a response that plumloft itself produces. */
   refuse({ exchange, status, retryAfter, reason }: Refusal): void {
     const headers = ["Content-Type", "text/plain"];
     if (retryAfter !== null) {
@@ -302,7 +311,7 @@
     );
     const rejection = checkHeaders(request, this.#limits);
     if (rejection !== null) return this.#reject(id, rejection);
-    if (!isMetExpectation(request)) this.#sendError(id, EXPECTATION_FAILED);
+    if (!canMeetExpectation(request)) this.#sendError(id, EXPECTATION_FAILED);
     readBody(request, () => this.#limits?.maximumBodyBytes ?? Infinity, {
       onTooLarge: () => this.#reject(id, BODY_TOO_LARGE),
       onComplete: (body) => {
@@ -317,11 +326,11 @@
    * Forwards a complete request once all bytes that are pending on connections
    * have been read. The end of a caller's connection may be unread behind its
    * request: Node accepts one new connection per turn of its event loop, so on
-   * a busy VM connections wait with everything that was sent on them, and the
-   * end is read one turn after the preceding bytes. Without this check, servers
-   * would run requests whose callers have disconnected. Three turns of an idle
-   * loop take 0.01 ms; on a busy VM they also accept waiting connections before
-   * requests are processed.
+   * a busy VM connections are queued with everything that was sent on them, and
+   * the end is read one turn after the preceding bytes. Without this check,
+   * servers would run requests whose callers have disconnected. Three turns of
+   * an idle loop take 0.01 ms; on a busy VM they also accept waiting
+   * connections before requests are processed.
    */
   #requestReceived(id: number, exchange: Exchange): void {
     const receivedAt = monotonicNow() - this.lag.lateness;
@@ -333,8 +342,8 @@
 
   /**
    * Forwards a request with its remaining timeout, which counts from when its
-   * bytes arrived at this VM. Counted from when they were read, servers would
-   * run requests whose callers have given up.
+   * bytes arrived at this VM. If it counted from when they were read, servers
+   * would run requests whose callers have given up.
    */
   #forward(id: number, exchange: Exchange, receivedAt: number): void {
     const { headers } = exchange.request;
@@ -379,8 +388,8 @@
 
   /**
    * Handles bytes that are not an HTTP request, or a request that was not
-   * completed in time. Pending responses are sent first, since the caller would
-   * take the error response for one of them.
+   * completed in time. Pending responses are sent first: the caller would take
+   * an earlier error response for one of them.
    */
   #handleClientError(error: NodeJS.ErrnoException, socket: Duplex): void {
     const connection = this.#connections.get(socket);
@@ -404,8 +413,8 @@
   }
 
   /**
-   * Rejects a CONNECT request. Node no longer reads from the connection at this
-   * point.
+   * Rejects a CONNECT request. Node has stopped reading from the connection and
+   * handling its errors at this point.
    */
   #rejectTunnel(socket: Duplex): void {
     socket.on("error", () => socket.destroy());
@@ -413,6 +422,7 @@
     this.#connections.get(socket)?.end(rawResponse(TUNNEL_UNSUPPORTED));
   }
 
+  /** Ends an exchange whose response can no longer be sent. */
   #callerDisconnected(id: number): void {
     if (!this.#exchanges.delete(id)) return;
     this.sink.push({ kind: "request.left", exchange: id });
--- a/src/runtime/caller_server_test.ts
+++ b/src/runtime/caller_server_test.ts
@@ -6,7 +6,7 @@
 /** Maximum time for an expected event, in milliseconds. */
 const TIMEOUT = 5_000;
 
-/** Starts a server that records its events, and one connection to it. */
+/** Starts a server that records its events, and opens a connection to it. */
 async function start(t: ExecutionContext) {
   const connection = await connectCaller(t, {
     maximumHeaderBytes: 400,
@@ -14,7 +14,7 @@
     headerTimeout: 1_000,
     idleTimeout: 5_000,
   });
-  const { server, socket, events: occurrences, read, connectFrom } = connection;
+  const { server, socket, events, read, connectFrom } = connection;
   const waitUntil = async (isMet: () => boolean) => {
     const end = Date.now() + TIMEOUT;
     while (!isMet()) {
@@ -23,7 +23,7 @@
     }
   };
   const arrivals = () =>
-    occurrences.flatMap((each) =>
+    events.flatMap((each) =>
       each.kind === "request.arrived" ? [each.arrival] : []
     );
   const respond = (exchange: number, body: string) =>
@@ -36,7 +36,7 @@
   return {
     server,
     socket,
-    occurrences,
+    events,
     arrivals,
     respond,
     waitUntil,
@@ -67,15 +67,15 @@
       "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n",
   );
   await waitUntil(() => arrivals().length === 1);
-  const received = arrivals().map(({ fingerprint: _, ...facts }) => facts);
+  const received = arrivals().map(({ fingerprint: _, ...arrival }) => arrival);
   t.snapshot(received);
-  const sent = Fingerprint.create({
+  const expected = Fingerprint.create({
     method: "POST",
     host: "h.example",
     target: "/a/b?c=1",
     body: Buffer.from("ok"),
   });
-  t.is(arrivals()[0].fingerprint.complete, sent.complete);
+  t.is(arrivals()[0].fingerprint.complete, expected.complete);
 });
 
 test("caller server: responds to pipelined requests in order", async (t) => {
@@ -122,11 +122,11 @@
 });
 
 test("caller server: reports a disconnect once", async (t) => {
-  const { socket, occurrences, arrivals, respond, waitUntil } = await start(t);
+  const { socket, events, arrivals, respond, waitUntil } = await start(t);
   socket.write(get("/1"));
   await waitUntil(() => arrivals().length === 1);
   socket.destroy();
-  const left = () => occurrences.filter((each) => each.kind === "request.left");
+  const left = () => events.filter((each) => each.kind === "request.left");
   await waitUntil(() => left().length === 1);
   respond(1, "too late");
   t.deepEqual(left(), [{ kind: "request.left", exchange: 1 }]);
@@ -177,7 +177,8 @@
   await waitUntil(() => arrivals().length === 1);
   respond(1, "one");
   await waitUntil(() => read().includes("one"));
-  // Both happen in one turn of the loop: the bytes have arrived but are unread.
+  // Both happen in one turn of the loop, so the bytes of the request are unread
+  // when the connection is closed.
   socket.write(get("/2"));
   server.close();
   await waitUntil(() => hasEnded(socket));
@@ -211,7 +212,7 @@
   server.close();
 });
 
-test("caller server: close ends a connection that always has another request", async (t) => {
+test("caller server: close ends a connection whose caller always has another request pending", async (t) => {
   const { server, socket, arrivals, respond, waitUntil, read } = await start(t);
   socket.write(get("/1"));
   await waitUntil(() => arrivals().length === 1);
@@ -230,10 +231,9 @@
 const LARGE_BODY_SIZE = 30_000_000;
 
 test("caller server: close waits until a slow reader has its complete response", async (t) => {
-  const { server, socket, occurrences, arrivals, respond, waitUntil, read } =
+  const { server, socket, events, arrivals, respond, waitUntil, read } =
     await start(t);
-  const isClosed = () =>
-    occurrences.some(({ kind }) => kind === "callers.closed");
+  const isClosed = () => events.some(({ kind }) => kind === "callers.closed");
   socket.pause();
   socket.write(get("/1"));
   await waitUntil(() => arrivals().length === 1);
@@ -269,23 +269,22 @@
   t.deepEqual(arrivals().map(({ target }) => target), ["/1"]);
 });
 
-test("caller server: close completes at once without any responses", async (t) => {
-  const { server, occurrences, waitUntil } = await start(t);
+test("caller server: close completes at once if no response is pending", async (t) => {
+  const { server, events, waitUntil } = await start(t);
   await waitUntil(() => server.counts.connections === 1);
   server.close();
-  t.deepEqual(occurrences.at(-1), { kind: "callers.closed" });
+  t.deepEqual(events.at(-1), { kind: "callers.closed" });
 });
 
 test("caller server: close waits for a caller that just received a response to end its side", async (t) => {
-  const { server, socket, occurrences, arrivals, respond, waitUntil, read } =
+  const { server, socket, events, arrivals, respond, waitUntil, read } =
     await start(t);
   socket.write(get("/1"));
   await waitUntil(() => arrivals().length === 1);
   respond(1, "one");
   await waitUntil(() => read().includes("one"));
   server.close();
-  const isClosed = () =>
-    occurrences.some(({ kind }) => kind === "callers.closed");
+  const isClosed = () => events.some(({ kind }) => kind === "callers.closed");
   // As far as this side knows, the response may still be in transit.
   t.false(isClosed());
   await waitUntil(isClosed);
@@ -304,7 +303,7 @@
 // was counted from when the request was read, although its bytes had arrived
 // long before.
 test.serial("caller server: rejects a request whose deadline passed before it was read", async (t) => {
-  const { server, socket, occurrences, arrivals, respond, waitUntil, read } =
+  const { server, socket, events, arrivals, respond, waitUntil, read } =
     await start(t);
   socket.write(get("/1"));
   await waitUntil(() => arrivals().length === 1);
@@ -327,7 +326,7 @@
   await waitUntil(() => statuses(read()).length === 3);
   t.deepEqual(statuses(read()), ["200", "503", "200"]);
   t.is(server.counts.late, 1);
-  const late = occurrences.flatMap((each) =>
+  const late = events.flatMap((each) =>
     each.kind === "request.late" ? [each] : []
   );
   t.deepEqual(late.map(({ id, timeout }) => [id, timeout]), [["r-2", 100]]);
@@ -335,8 +334,8 @@
 });
 
 test("caller server: reports a disconnect while a response is blocked", async (t) => {
-  const { socket, occurrences, arrivals, respond, waitUntil } = await start(t);
-  const left = () => occurrences.filter(({ kind }) => kind === "request.left");
+  const { socket, events, arrivals, respond, waitUntil } = await start(t);
+  const left = () => events.filter(({ kind }) => kind === "request.left");
   socket.pause();
   socket.write(get("/1") + get("/2"));
   await waitUntil(() => arrivals().length === 2);
@@ -353,9 +352,11 @@
 test("caller server: the fingerprint of a request is independent of the caller's address", async (t) => {
   const { connectFrom, arrivals, waitUntil } = await start(t);
   for (const address of ["127.0.0.1", "127.0.0.2", "127.0.0.3"]) {
-    connectFrom(address).write(get("/ends"));
+    connectFrom(address).write(get("/crash"));
   }
   await waitUntil(() => arrivals().length === 3);
-  const whole = arrivals().map(({ fingerprint }) => fingerprint.complete);
-  t.is(new Set(whole).size, 1);
+  const fingerprints = arrivals().map(({ fingerprint }) =>
+    fingerprint.complete
+  );
+  t.is(new Set(fingerprints).size, 1);
 });
--- a/src/runtime/control_store.ts
+++ b/src/runtime/control_store.ts
@@ -15,7 +15,11 @@
 import type { CrashRecord } from "../core/quarantine/index.ts";
 import type { RegistryRead } from "../core/registry/index.ts";
 
-/** Feeds of the store that a process follows. */
+/**
+ * Feeds of the store that a process follows: `configuration` has the
+ * configuration and the evacuated availability zones, `holder` the announcement
+ * of the term holder and the quarantined requests.
+ */
 export type Feed = "configuration" | "holder";
 
 /** A record that could not be decoded. */
@@ -37,14 +41,14 @@
 /** Result of a read of a feed. */
 export interface StoreRead extends DecodedRead {
   occurrences: UntimedEvent[];
-  /** Position from which to continue. */
+  /** Position of the next read. */
   next: number;
 }
 
 /** Result of a read of the registry. */
 export interface ServersRead extends RegistryRead, DecodedRead {}
 
-/** Result of a read of the term holders' records. */
+/** Result of a read of the term holders' records: terms and assignments. */
 export interface RecordsRead extends DecodedRead {
   records: TermRecords;
   /**
@@ -54,31 +58,35 @@
   isTermKnown: boolean;
 }
 
-/** Response to a membership call. */
+/** Answer to a membership call. */
 export interface GroupMembership {
+  /** Number that grows with each change of the group. */
   generation: number;
+  /** Whether this VM is the elected member. */
   isElected: boolean;
 }
 
 /** The most recently published configuration. */
 export interface PublishedConfiguration {
+  /** Null if none has been published yet. */
   configuration: Configuration | null;
+  /** Position at which the log of the configuration ended when it was read. */
   end: number;
 }
 
 /**
- * See the module's comment. All calls reject with an error that names step and
- * peer.
+ * See the module's comment. Calls that fail reject with an error that names the
+ * step and the peer.
  */
 export abstract class ControlStore {
-  /** Reads all current records. */
+  /** Reads all current records of a feed. */
   abstract readAll(feed: Feed): Promise<StoreRead>;
   /**
-   * Reads the records from a position on. With a positive `wait`, waits up to
-   * that many milliseconds for the next record.
+   * Reads the records of a feed from a position on. If there are none yet,
+   * waits up to `wait` milliseconds for the next one.
    */
   abstract readFrom(feed: Feed, from: number, wait: number): Promise<StoreRead>;
-  /** Reads the registry from a position on, or completely (null). */
+  /** Reads the registry from a position on, or all of it if `from` is null. */
   abstract readServers(from: number | null): Promise<ServersRead>;
   /**
    * Joins a group or renews the membership, which expires after `timeToLive`
@@ -97,8 +105,8 @@
    */
   abstract readRecords(): Promise<RecordsRead>;
   /**
-   * Claims a term if the record still ends at `end` and no newer term was
-   * claimed.
+   * Claims a term if the log of the term holders' records still ends at `end`
+   * and no newer term was claimed.
    */
   abstract claimTerm(term: number, end: number): Promise<void>;
   /** Records assignments; rejects if a newer term was claimed. */
@@ -119,17 +127,15 @@
   /** Records quarantined requests, for VMs that start later. */
   abstract writeQuarantine(records: readonly CrashRecord[]): Promise<void>;
   /**
-   * Resolves when a short call succeeds after the last failed one, at the
-   * latest after `timeout` milliseconds; immediately if no call has failed.
+   * Resolves when a call other than a long poll succeeds again, at the latest
+   * after `timeout` milliseconds; immediately if the last one did not fail.
    */
   abstract waitUntilReachable(timeout: number): Promise<void>;
-  /** Reads the current configuration and the end of its record. */
+  /** Reads the current configuration. */
   abstract readConfiguration(): Promise<PublishedConfiguration>;
-  /** Publishes a configuration if its record still ends at `end`. */
+  /** Publishes a configuration if the log still ends at `end`. */
   abstract publish(configuration: Configuration, end: number): Promise<void>;
-  /**
-   * Requests the evacuation of an availability zone, or withdraws the request.
-   */
+  /** Evacuates an availability zone, or restores it. */
   abstract evacuate(zone: string, isEvacuated: boolean): Promise<void>;
   /** Whether a read failed because its records have expired. */
   abstract isExpired(error: unknown): boolean;
--- a/src/runtime/effect_runner.ts
+++ b/src/runtime/effect_runner.ts
@@ -32,8 +32,8 @@
 export interface OrderTimeouts {
   grant: number;
   /**
-   * A server responds to a release after it has completed the work that runs on
-   * the keys.
+   * A server responds to a release only after it has completed the requests
+   * that are running for the keys.
    */
   release: number;
 }
@@ -112,15 +112,15 @@
       case "keys.move":
         return this.#logMove(effect);
       case "assignments.write":
-        return void store.write(effect);
+        return void store.writeAssignments(effect);
       case "term.read":
         return void store.readRecords();
       case "term.claim":
-        return void store.claim(effect);
+        return void store.claimTerm(effect);
       case "holder.announce":
-        return void store.announce(effect, this.adapters.peerAddress);
+        return void store.announceHolder(effect, this.adapters.peerAddress);
       case "assignments.fetch":
-        return void store.fetch();
+        return void store.fetchAssignments();
       case "quarantine.write":
         return void store.writeQuarantine(effect);
       case "servers.fetch":
@@ -153,8 +153,8 @@
   }
 
   /**
-   * Logs the counts at the close, which distinguish requests that the close cuts
-   * from requests that arrive at the same time.
+   * Closes the callers' connections. The logged counts distinguish requests
+   * that the close cuts off from requests that arrive at the same time.
    */
   #closeCallers(): void {
     const { callers, logger } = this.adapters;
--- a/src/runtime/elapsed_clock.ts
+++ b/src/runtime/elapsed_clock.ts
@@ -2,13 +2,13 @@
  * Elapsed time since the process started, including time for which the machine
  * was suspended.
  *
- * The steady clock stops during a suspension. The time of day continues, but is
- * also adjusted, which is not elapsed time; the uptime of the machine
- * distinguishes the two. Reading the uptime takes 0.05 ms, so it is read only
- * when the time of day has jumped, and periodically to verify that it runs at
- * the rate of the steady clock: some platforms report the uptime of another
- * machine to a process. There a forward jump is treated as a suspension and
- * reported as uncertain.
+ * The steady clock stops during a suspension. The time of day continues, but it
+ * may also be adjusted, and an adjustment is not elapsed time; the uptime of
+ * the machine tells the two apart. Reading the uptime takes 0.05 ms, so it is
+ * read only when the time of day has jumped, and periodically to verify that it
+ * runs at the rate of the steady clock: some platforms report the uptime of
+ * another machine to a process. On such a platform, a forward jump of the time
+ * of day is treated as a suspension and reported as uncertain.
  *
  * @module
  */
@@ -35,25 +35,23 @@
 }
 
 /**
- * Minimum difference between two clocks that counts as a jump, in milliseconds:
- * far more than their resolution, and than a slewed clock gains between two
- * readings.
+ * Minimum difference between two clocks that counts as a jump, in milliseconds.
+ * It is far more than their resolution, and far more than a slewed clock drifts
+ * between two readings.
  */
 const MINIMUM_JUMP = 100;
-/**
- * Maximum time between two readings that are compared, in milliseconds, and the
- * number of attempts to stay within it.
- */
+/** Maximum time between two readings that are compared, in milliseconds. */
 const MAXIMUM_READ_DURATION = 10;
+/** Maximum attempts to read two clocks within that time. */
 const MAXIMUM_READ_ATTEMPTS = 5;
 /** Interval between two checks of the uptime, in milliseconds. */
 const CHECK_INTERVAL = 2_000;
 /**
- * Maximum drift between two checks of an uptime that runs at the rate of the
- * steady clock, in milliseconds.
+ * Maximum drift of the uptime against the steady clock between two checks, in
+ * milliseconds, up to which both count as running at the same rate.
  */
 const MAXIMUM_DRIFT = 40;
-/** Consecutive checks without drift after which the uptime is trusted. */
+/** Number of checks without drift after which the uptime is trusted. */
 const CHECKS_TO_TRUST = 3;
 
 /** See the module's comment. */
@@ -63,6 +61,7 @@
   /** Offsets of the other clocks from the steady one, in milliseconds. */
   #timeOfDayOffset: number;
   #uptimeOffset: number;
+  /** Time of the last check of the uptime, on the steady clock. */
   #checkedAt: number;
   /** Whether the time of day has jumped since the last check. */
   #hasJumped = false;
@@ -71,6 +70,7 @@
    * milliseconds.
    */
   #setBackBy = 0;
+  /** Number of checks in which the uptime did not drift. */
   #passedChecks = 0;
   /** Whether the uptime was observed to run at another rate. */
   #isUptimeFaulty = false;
@@ -149,6 +149,7 @@
     return isCorrection;
   }
 
+  /** Checks whether the uptime runs at the rate of the steady clock. */
   #check(steady: number): void {
     const hasJumped = this.#hasJumped;
     const shift = this.#updateUptimeOffset();
@@ -162,7 +163,10 @@
     }
   }
 
-  /** Shift of the uptime relative to the steady clock since the last call. */
+  /**
+   * Updates the offset of the uptime. Returns its shift relative to the steady
+   * clock since the last update, in milliseconds.
+   */
   #updateUptimeOffset(): number {
     const offset = this.#offsetOf(() => this.readings.uptime());
     const shift = offset - this.#uptimeOffset;
@@ -170,6 +174,7 @@
     return shift;
   }
 
+  /** Counts the jump as elapsed time, unless it is too small or backwards. */
   #addJump(jump: ClockJump): void {
     if (jump.gap < MINIMUM_JUMP) return;
     this.#suspendedTime += jump.gap;
--- a/src/runtime/elapsed_clock_test.ts
+++ b/src/runtime/elapsed_clock_test.ts
@@ -1,7 +1,7 @@
 /**
- * Clocks of a machine that is suspended for seconds: the steady clock does not
- * count that time, the time of day and the uptime do. The time of day is also
- * adjusted now and then, which is not elapsed time.
+ * Tests with the clocks of a machine that is suspended for seconds: the steady
+ * clock does not count that time, the time of day and the uptime do. The time
+ * of day is also adjusted now and then, which is not elapsed time.
  */
 import test from "ava";
 import { type ClockJump, ElapsedClock } from "./elapsed_clock.ts";
@@ -16,7 +16,7 @@
   const clock = ElapsedClock.create({
     steady: () => readings.steady,
     timeOfDay: () => Math.floor(readings.timeOfDay),
-    // With a resolution of 10 ms.
+    // The uptime has a resolution of 10 ms.
     uptime: () => Math.floor(readings.uptime / 10) * 10,
   });
   const advance = (time: number) => {
--- a/src/runtime/entry_loop.ts
+++ b/src/runtime/entry_loop.ts
@@ -1,7 +1,7 @@
 /**
- * The event loop of an entry process. Every event passes through one stream
- * into the reducer, and its effects are executed before the next event is
- * processed.
+ * The event loop of an entry process. It passes every event through one stream
+ * to the core, and executes the effects that the core returns before it
+ * processes the next event.
  *
  * @module
  */
@@ -37,13 +37,14 @@
   }
 }
 
-/** Receives events for the loop. */
+/** Accepts events for the loop. */
 export interface EventSink {
   push(event: UntimedEvent): void;
 }
 
-/** Executes effects; never throws. */
+/** Executes effects. */
 export interface EffectHandler {
+  /** Executes one effect; never throws. */
   handle(effect: EntryEffect): void;
 }
 
@@ -79,8 +80,8 @@
   }
 
   /**
-   * Processes an event. One that is pushed while another is processed is
-   * queued.
+   * Processes an event, or queues it if it is pushed while another one is
+   * processed.
    */
   push(event: UntimedEvent): void {
     this.#queue.push(event);
@@ -100,7 +101,7 @@
     this.#setTimer();
   }
 
-  /** Ignores all further events. */
+  /** Stops the loop, which then ignores all further events. */
   stop(): void {
     this.#isStopped = true;
     this.#unsubscribeClock();
--- a/src/runtime/entry_metrics.ts
+++ b/src/runtime/entry_metrics.ts
@@ -16,18 +16,20 @@
 
   private constructor(private readonly readGauges: GaugeReader) {}
 
-  /** Creates metrics without any counts. */
+  /** Creates metrics without counters and histograms. */
   static create(readGauges: GaugeReader): EntryMetrics {
     return new EntryMetrics(readGauges);
   }
 
-  /** Increments a counter; `labels` as in `status="200"`. */
+  /**
+   * Increments a counter. `labels` has the form `status="200",source="server"`.
+   */
   count(name: string, labels = ""): void {
     const key = labels === "" ? name : `${name}{${labels}}`;
     this.#counters.set(key, (this.#counters.get(key) ?? 0) + 1);
   }
 
-  /** Records a duration in milliseconds. */
+  /** Records a duration in a latency histogram. */
   observe(name: string, milliseconds: number): void {
     let latencies = this.#latencies.get(name);
     if (latencies === undefined) {
--- a/src/runtime/entry_process.ts
+++ b/src/runtime/entry_process.ts
@@ -27,32 +27,36 @@
 import { StoreLink } from "./store_link.ts";
 
 /**
- * Long-poll timeout for feeds that rarely change, in milliseconds: a call costs
- * more than its bytes. A connection that is lost without a reset is noticed by
- * the shorter calls that run at the same time, and VMs exchange the version of
- * their configuration.
+ * Long-poll timeout for feeds that rarely change, in milliseconds. It is long
+ * because a call has a cost besides its bytes. A connection that is lost
+ * without a reset is detected by the shorter calls that run at the same time,
+ * and VMs send each other the version of their configuration.
  */
 const LONG_POLL_TIMEOUT = 29_000;
 /**
  * Long-poll timeout of the configuration feed shortly after a failed read, in
- * milliseconds. Together with the store's timeout, a lost response is noticed
- * within 1.5 s; a configuration must be in force 2 s after it was acknowledged.
+ * milliseconds. Together with the timeout of calls to the store, it ensures
+ * that a lost answer is detected within 1.5 s; a configuration must be in force
+ * 2 s after it was acknowledged.
  */
 const LONG_POLL_TIMEOUT_AFTER_FAILURE = 500;
 /**
- * Interval between two reads of the registry by the term holder, and the age at
- * which another VM without a newer copy reads the registry itself, both as a
- * share of the drain time. Both leave time for one slow response before
- * requests to a draining server must have stopped.
+ * Interval between two reads of the registry by the term holder, as a share of
+ * the drain time. It leaves time for one slow answer before requests to a
+ * draining server must have stopped, and so does the share below.
  */
 const REGISTRY_INTERVAL_SHARE = 0.225;
+/**
+ * Age of a VM's copy of the registry at which the VM, if it receives no newer
+ * one, reads the registry itself, as a share of the drain time.
+ */
 const REGISTRY_MAXIMUM_AGE_SHARE = 0.6;
 /**
  * Time during a shutdown in which new connections are still accepted, in
  * milliseconds.
  */
 const CLOSE_DELAY = 3_600;
-/** Upper bound of that time as a share of the shutdown timeout. */
+/** Upper bound of that time, as a share of the shutdown timeout. */
 const CLOSE_SHARE = 0.6;
 const MILLISECONDS_PER_SECOND = 1_000;
 /**
@@ -61,12 +65,12 @@
  */
 const STOP_MARGIN = 250;
 /**
- * Timeout of a release order, in milliseconds. A server responds after it has
- * completed the work that runs on the keys.
+ * Timeout of a release order, in milliseconds. A server responds only after it
+ * has completed the requests that are running for the keys.
  */
 const RELEASE_TIMEOUT = 3_000;
 
-/** Connections of a process to its platform. */
+/** Implementations of the interfaces to the platform that a process uses. */
 export interface PlatformAdapters {
   store: ControlStore;
   headers: HeaderCodec;
@@ -79,6 +83,7 @@
   readonly stopped: Promise<void>;
   readonly #followers: FeedFollower[] = [];
   readonly #entry: Entry;
+  /** Null until the process has started. */
   #configurationFollower: FeedFollower | null = null;
   readonly #loop: EntryLoop;
   readonly #loopLag = LoopLag.create();
@@ -181,7 +186,7 @@
     return process;
   }
 
-  /** State of this process as seen by the core. */
+  /** Status of the core of this process. */
   status(): EntryStatus {
     return describeEntry(this.#entry, monotonicNow());
   }
@@ -261,7 +266,8 @@
     this.#loop.stop();
     this.#loopLag.stop();
     for (const follower of this.#followers) follower.stop();
-    // Destroying the servers below cuts the requests that these counts include.
+    // Read first: destroying the connections cuts off the requests that these
+    // counts include.
     const { counts } = this.#callerServer;
     this.#callerServer.destroy();
     this.#backendPool.close();
--- a/src/runtime/entry_process_test.ts
+++ b/src/runtime/entry_process_test.ts
@@ -13,7 +13,7 @@
 import { setTimeout as delay } from "node:timers/promises";
 import { startEntryInProcess } from "../../test/support/entry_in_process.ts";
 
-/** Time between the request to stop and the forced termination, in seconds. */
+/** Time between the shutdown signal and the forced termination, in seconds. */
 const SHUTDOWN_TIMEOUT = 2;
 /** Time after which callers' connections are closed, in milliseconds. */
 const CLOSE_AFTER = 1_200;
@@ -149,7 +149,7 @@
 // this late are rejected, but the times of a shutdown must not count from when
 // the process handles the signal: a process that is busy at that time would
 // accept requests for that much longer, and would be terminated by force before
-// its own exit.
+// it exits by itself.
 test.serial("stop: the timeout counts from the signal even if the event loop is blocked", async (t) => {
   const { entry, connect } = await startEntryInProcess(t, SHUTDOWN_TIMEOUT);
   connect().write("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\n");
--- a/src/runtime/feed_follower.ts
+++ b/src/runtime/feed_follower.ts
@@ -16,30 +16,31 @@
 const RETRY_DELAY = 250;
 /**
  * Maximum wait for the store to become reachable again, in milliseconds.
- * Membership calls, which cost a tenth of a read, detect that. Feeds that kept
- * polling made 7,500 calls in 25 s while the store rejected a third of the
- * calls of 91 VMs.
+ * Membership calls detect that the store is reachable, and cost a tenth of a
+ * read. When feeds kept polling instead, they made 7,500 calls in 25 s while
+ * the store rejected a third of the calls of 91 VMs.
  */
 const MAXIMUM_RETRY_WAIT = 3_000;
 
 /**
  * Time after a failed read during which reads use the short long-poll timeout,
- * in milliseconds. A store that has just recovered may lose the response to a
- * waiting call without a reset, which is noticed only when the call times out.
+ * in milliseconds. A store that has just recovered may lose the answer to a
+ * long poll without resetting the connection, which is detected only when the
+ * call times out.
  */
 const AFTER_FAILURE_PERIOD = 1_500;
 
 /** Timing of the reads of a feed. */
 export interface FeedTiming {
   /**
-   * Long-poll timeout of a read, in milliseconds, for feeds that change seldom
-   * and whose updates are needed at once.
+   * Long-poll timeout of a read, in milliseconds. It suits feeds that change
+   * seldom and whose updates are needed at once.
    */
   longPollTimeout: number;
   /** Long-poll timeout shortly after a failed read, in milliseconds. */
   longPollTimeoutAfterFailure: number;
   /**
-   * Minimum interval between the starts of two reads, in milliseconds, for
+   * Minimum interval between the starts of two reads, in milliseconds. It suits
    * feeds that change constantly.
    */
   readInterval: number;
@@ -47,6 +48,7 @@
 
 /** See the module's comment. */
 export class FeedFollower {
+  /** Position of the next read; null to read all current records. */
   #nextPosition: number | null = null;
   #isStopped = false;
   #isEnabled = true;
@@ -82,8 +84,8 @@
 
   /**
    * Reads all current records in parallel with the pending long poll. Only one
-   * refresh runs at a time, since a large document would not arrive sooner
-   * twice.
+   * refresh runs at a time: a second transfer would not make a large document
+   * arrive sooner.
    */
   async refresh(): Promise<void> {
     if (this.#isRefreshing) return;
@@ -99,9 +101,9 @@
   }
 
   /**
-   * Resumes reading, or starts no further read until it is enabled again. A
-   * read that is still pending may have lost its connection without a reset, so
-   * resuming starts another one in parallel.
+   * Resumes or pauses reading; while it is paused, no further read starts. A
+   * read that is still pending at the resumption may have lost its connection
+   * without a reset, so another one is started in parallel.
    */
   setEnabled(isEnabled: boolean): void {
     if (isEnabled === this.#isEnabled) return;
@@ -135,6 +137,7 @@
     this.#resume = null;
   }
 
+  /** Reads once; returns whether the read succeeded. */
   async #read(sentAt: number): Promise<boolean> {
     this.#isReading = true;
     try {
--- a/src/runtime/feed_follower_test.ts
+++ b/src/runtime/feed_follower_test.ts
@@ -9,8 +9,8 @@
 const LONG_POLL_TIMEOUT = 29_000;
 
 /**
- * Follows a store whose reads end as `results` say, and then no more. Returns
- * the long-poll timeouts of the reads.
+ * Follows a store whose reads have these results; further reads stay pending.
+ * Returns the long-poll timeouts of the reads and the number of complete reads.
  */
 function startFollower(results: readonly ("update" | "failure")[]) {
   const timeouts: number[] = [];
@@ -74,7 +74,7 @@
   follower.setEnabled(true);
   await new Promise((next) => setTimeout(next, 50));
   t.deepEqual(timeouts, [LONG_POLL_TIMEOUT, LONG_POLL_TIMEOUT]);
-  // The pending read may never end: another one is started in parallel.
+  // The pending read may never complete, so another one starts in parallel.
   const before = readAll();
   follower.setEnabled(false);
   follower.setEnabled(true);
--- a/src/runtime/frame.ts
+++ b/src/runtime/frame.ts
@@ -1,6 +1,6 @@
 /**
- * Frames between peers: a length of four bytes, most significant first, then
- * one CBOR value. The highest bit of the length marks a deflated value.
+ * Frames between peers: a four-byte big-endian length, then one CBOR value. The
+ * highest bit of the length marks a deflated value.
  *
  * @module
  */
@@ -14,13 +14,13 @@
 /** Maximum length of an accepted value, in bytes, deflated and inflated. */
 export const MAXIMUM_FRAME_LENGTH = 16 * 1024 * 1024;
 /**
- * Minimum length of a value that is deflated, in bytes. Below it the saving is
- * less than a packet.
+ * Minimum length of a value that is deflated, in bytes. Below it, deflating
+ * saves less than one network packet.
  */
 const DEFLATE_THRESHOLD = 4_096;
 /**
  * The fastest level: most of a large message is repeated names, which every
- * level compresses.
+ * level compresses well.
  */
 const DEFLATE_LEVEL = 1;
 
@@ -56,7 +56,10 @@
   #chunks: Buffer[] = [];
   /** Total length of the chunks, in bytes. */
   #bufferedLength = 0;
-  /** Number of bytes needed for the first frame, as far as known. */
+  /**
+   * Number of buffered bytes needed to continue decoding: the length field of
+   * the next frame, or the whole frame once its length is known.
+   */
   #requiredLength = HEADER_LENGTH;
 
   private constructor() {}
--- a/src/runtime/header_codec.ts
+++ b/src/runtime/header_codec.ts
@@ -1,42 +1,51 @@
 /**
- * Interface that maps between HTTP headers and the information they carry.
+ * Interface that encodes and decodes the HTTP headers exchanged with callers
+ * and backend servers.
  *
  * @module
  */
 import type { IncomingHttpHeaders } from "node:http";
 import type { ReportedLoad } from "../core/fleet/index.ts";
 
-/** Information about a request besides method, path and body. */
+/** Information that a caller's request carries in its headers. */
 export interface RequestMetadata {
   /** Id of the request; empty if the caller sends none. */
   id: string;
-  /** Time for which the caller waits, in milliseconds, or null. */
+  /**
+   * Time for which the caller waits for the response, in milliseconds; null if
+   * the caller sets no limit.
+   */
   timeout: number | null;
+  /** Key that the request is about; null if it has none. */
   key: number | null;
 }
 
 /** Information that a server's response carries in its headers. */
 export interface ResponseMetadata {
-  /** The server states that it did not run the request. */
+  /** Whether the server reports that it did not run the request. */
   isNotRun: boolean;
-  /** The response comes from the server itself and belongs to this request. */
+  /**
+   * Whether the server itself produced the response, and produced it for this
+   * request.
+   */
   isGenuine: boolean;
-  /** The response does not name another request. */
+  /** Whether the response carries the id of this request or no id. */
   isOwnExchange: boolean;
-  /** Id of the server, if present. */
+  /** Id of the server; null if missing. */
   server: string | null;
+  /** Load that the server reports; null if missing or invalid. */
   load: ReportedLoad | null;
   /**
    * Maximum requests per second that the server accepts from all VMs combined;
-   * null if it states no limit, undefined if the value is invalid.
+   * null if it reports no limit, undefined if the value is invalid.
    */
   rateLimit: number | null | undefined;
 }
 
 /** See the module's comment. */
 export abstract class HeaderCodec {
-  /** Request headers for plumloft's own callers. */
-  abstract callerHeaders(facts: RequestMetadata): Record<string, string>;
+  /** Headers by which a caller passes `metadata` with its request. */
+  abstract callerHeaders(metadata: RequestMetadata): Record<string, string>;
   /** Reads the headers of a caller's request. */
   abstract readRequest(headers: IncomingHttpHeaders): RequestMetadata;
   /**
@@ -45,8 +54,9 @@
    */
   abstract isInternal(name: string): boolean;
   /**
-   * Headers, as alternating names and values, for a request that only `server`
-   * may run and whose response is awaited for `remaining` milliseconds.
+   * Headers of a request that is forwarded to a server, as alternating names
+   * and values: only `server` may run it, and the response is awaited for
+   * `remaining` milliseconds.
    */
   abstract serverHeaders(server: string, remaining: number): string[];
   /**
--- a/src/runtime/hostile_text_test.ts
+++ b/src/runtime/hostile_text_test.ts
@@ -1,7 +1,7 @@
 /**
- * An exception while an effect is executed ends the process, and with it all
- * requests in flight. Invalid text from the registry or from a backend server
- * that cannot be forwarded must fail at most one attempt.
+ * Tests with text that Node refuses to send: an exception while an effect is
+ * executed would end the process and all requests in flight. Invalid text from
+ * the registry or from a backend server must fail at most one attempt.
  *
  * @module
  */
--- a/src/runtime/http_client.ts
+++ b/src/runtime/http_client.ts
@@ -1,6 +1,7 @@
 /**
- * HTTP client for short internal calls, with persistent connections, complete
- * responses and a timeout on every wait.
+ * HTTP client for calls to the store and orders to backend servers. It keeps
+ * connections alive, returns only complete responses, and limits every wait by
+ * a timeout.
  *
  * Uses Node's HTTP client, since loading and using `undici` would add 13 MB of
  * memory and 0.12 s of processor time to each process start.
@@ -30,7 +31,7 @@
 /**
  * Timeouts for a response that has begun, in milliseconds. A large response
  * over a slow link is not restarted while its bytes keep arriving: restarts
- * would fill the link and never complete.
+ * would saturate the link and never complete.
  */
 export interface TransferTimeouts {
   /** Maximum time without a byte. */
@@ -39,7 +40,7 @@
   totalTimeout: number;
 }
 
-/** One call. */
+/** A request to send, with its timeouts. */
 export interface HttpCall {
   method: "GET" | "POST";
   /** Path and query. */
@@ -48,26 +49,27 @@
   headers?: Readonly<Record<string, string>>;
   body?: Buffer | string;
   /**
-   * Timeout of the whole response, in milliseconds; with `transfer`, of its
-   * first bytes.
+   * Time within which the whole response must arrive, in milliseconds; with
+   * `transfer`, only its headers.
    */
   timeout: number;
   /** Timeouts for the rest of the response once it has begun. */
   transfer?: TransferTimeouts;
-  /** Called when the response begins. */
+  /** Called when the headers of the response have arrived. */
   onResponse?: () => void;
   /** Aborts the call and resets its connection. */
   signal?: AbortSignal;
   /**
    * Time from now within which the call may open a connection, in milliseconds;
-   * unlimited if omitted. If none is available after that, the call is not sent
-   * and rejects with a {@linkcode NoConnectionError}.
+   * unlimited if omitted. Afterwards only an open connection is used; if there
+   * is none, the call is not sent and rejects with a
+   * {@linkcode NoConnectionError}.
    */
   connectWithin?: number;
 }
 
 /**
- * Thrown when a call that may no longer open a connection finds none available.
+ * Thrown when no connection is open and the call may no longer open one.
  */
 export class NoConnectionError extends Error {
   private constructor() {
@@ -170,11 +172,11 @@
   }
 
   /**
-   * Closes idle connections to an address. Where one connection has become
-   * unresponsive the others may have too, and each would cost a timeout.
+   * Closes the idle connections to an address after a call to it has timed out:
+   * they may be broken as well, and each would cost another timeout.
    * Connections to other addresses are kept: opening one to a busy server takes
-   * time, so an unresponsive server would cause calls to all others to time out
-   * as well.
+   * time, so calls to all other servers would time out because of one
+   * unresponsive server.
    */
   #closeIdleConnections(host: string, port: number): void {
     const name = this.#agent.getName({ host, port });
@@ -184,8 +186,8 @@
 
 /**
  * Aborts a request and resets its connection. After an orderly close the kernel
- * would still deliver bytes queued behind a full link, long after this call
- * failed.
+ * would still deliver bytes that are queued for a saturated link, long after
+ * the call has failed.
  */
 function abortRequest(request: ClientRequest): void {
   const { socket } = request;
--- a/src/runtime/http_client_test.ts
+++ b/src/runtime/http_client_test.ts
@@ -16,7 +16,8 @@
 const CALL = { method: "GET", path: "/", timeout: 150 } as const;
 
 /**
- * Starts a server that calls `respond` for each request; counts connections.
+ * Starts a server that sends the text that `respond` returns for a path, and
+ * nothing if it returns null. Returns its address and all its connections.
  */
 async function startServer(
   t: ExecutionContext,
@@ -129,7 +130,7 @@
   t.is(responsive.connections.size, 1);
 });
 
-test("http client: a call opens no connection after its limit", async (t) => {
+test("http client: a call opens no connection after its time limit", async (t) => {
   const { address, connections } = await startServer(
     t,
     (path) => path === "/silent" ? null : "text",
@@ -151,9 +152,10 @@
 });
 
 /**
- * Starts a server that sends its response in pieces, all of it or only half.
+ * Starts a server that sends its response in pieces: the complete response, or
+ * only half of it, after which it stalls.
  */
-async function startSlowServer(t: ExecutionContext, isWhole: boolean) {
+async function startSlowServer(t: ExecutionContext, isComplete: boolean) {
   const pieces = 8;
   const server = createServer((_, response) => {
     response.writeHead(200, { "content-length": String(pieces) });
@@ -161,7 +163,7 @@
     const timer = setInterval(() => {
       sent += 1;
       response.write("x");
-      const isLast = sent === (isWhole ? pieces : pieces / 2);
+      const isLast = sent === (isComplete ? pieces : pieces / 2);
       if (isLast) clearInterval(timer);
     }, 60);
     response.once("close", () => clearInterval(timer));
@@ -178,17 +180,20 @@
 test("http client: accepts a slow response, and rejects one that stalls", async (t) => {
   const client = createClient(t);
   const transfer: TransferTimeouts = { stallTimeout: 250, totalTimeout: 5_000 };
-  const whole = await startSlowServer(t, true);
+  const complete = await startSlowServer(t, true);
   const call: HttpCall = { ...CALL, timeout: 250, transfer };
-  t.is((await client.send(whole, call)).body.length, 8);
+  t.is((await client.send(complete, call)).body.length, 8);
   const bounded: HttpCall = {
     ...call,
     transfer: { ...transfer, totalTimeout: 300 },
   };
   const stalling = await startSlowServer(t, false);
   for (
-    const calls of [client.send(whole, bounded), client.send(stalling, call)]
+    const slowCall of [
+      client.send(complete, bounded),
+      client.send(stalling, call),
+    ]
   ) {
-    t.is((await t.throwsAsync(calls))?.message, "response timed out");
+    t.is((await t.throwsAsync(slowCall))?.message, "response timed out");
   }
 });
--- a/src/runtime/listen.ts
+++ b/src/runtime/listen.ts
@@ -1,5 +1,5 @@
 /**
- * Starts servers at addresses of the settings.
+ * Makes servers listen at addresses from the settings.
  *
  * @module
  */
@@ -7,12 +7,14 @@
 import { parseAddress } from "../settings/address.ts";
 
 /**
- * Maximum number of connections that wait to be accepted. Many callers connect
- * at the same time.
+ * Maximum number of connections that wait to be accepted: many callers may
+ * connect at the same time.
  */
 const BACKLOG = 1_024;
 
-/** Listens at `address`. Rejects if it cannot. */
+/**
+ * Makes `server` listen at `address`. Rejects if the address cannot be used.
+ */
 export function listenAt(server: Server, address: string): Promise<void> {
   const { host, port } = parseAddress(address);
   return new Promise((resolve, reject) => {
--- a/src/runtime/loop_lag.ts
+++ b/src/runtime/loop_lag.ts
@@ -8,13 +8,13 @@
 
 /**
  * Interval of the measurement, in milliseconds. A delay of up to this length
- * may go unnoticed.
+ * may go undetected.
  */
 const MEASURE_INTERVAL = 50;
 /**
  * Delay above which a turn of the loop counts as late, in milliseconds: one
  * measurement was missed. Together with the interval, a delay of 0.1 s may go
- * unnoticed. This is acceptable: servers may work for up to half a second for
+ * undetected. This is acceptable: servers may work for up to half a second for
  * callers that have disconnected, and a shutdown rejects requests 0.12 s before
  * it must.
  */
@@ -25,7 +25,8 @@
   readonly #timer: NodeJS.Timeout;
   #measuredAt = monotonicNow();
   /**
-   * Start of a period without reads, during a turn of the loop that began late.
+   * During a turn of the loop that began late: when the turn should have begun.
+   * Null after the turn has read from the sockets.
    */
   #blockedSince: number | null = null;
 
@@ -44,8 +45,9 @@
    * have arrived that much earlier.
    */
   get lateness(): number {
-    const dueAt = this.#blockedSince ?? this.#measuredAt + MEASURE_INTERVAL;
-    return Math.max(0, monotonicNow() - dueAt);
+    const expectedAt = this.#blockedSince ??
+      this.#measuredAt + MEASURE_INTERVAL;
+    return Math.max(0, monotonicNow() - expectedAt);
   }
 
   /** Stops measuring. */
@@ -55,11 +57,11 @@
 
   #measure(): void {
     const now = monotonicNow();
-    const dueAt = this.#measuredAt + MEASURE_INTERVAL;
+    const expectedAt = this.#measuredAt + MEASURE_INTERVAL;
     this.#measuredAt = now;
-    if (now - dueAt <= LATENESS_THRESHOLD) return;
+    if (now - expectedAt <= LATENESS_THRESHOLD) return;
     // The loop reads from sockets after its timers and before its immediates.
-    this.#blockedSince ??= dueAt;
+    this.#blockedSince ??= expectedAt;
     setImmediate(() => this.#blockedSince = null);
   }
 }
--- a/src/runtime/peer_network.ts
+++ b/src/runtime/peer_network.ts
@@ -1,7 +1,7 @@
 /**
- * Messages between entry processes over TCP. The process that sends first opens
- * a connection and both use it; each side starts with a hello frame. Messages
- * may be lost: the core repeats whatever matters.
+ * Exchanges messages between entry processes over TCP. The process that sends
+ * first opens a connection and both use it; each side starts with a hello
+ * frame. Messages may be lost; the core resends those that must arrive.
  *
  * @module
  */
@@ -31,7 +31,7 @@
 
 type Hello = z.infer<typeof helloSchema>;
 
-/** Identity of this process towards its peers. */
+/** Identity that this process sends to its peers. */
 export interface PeerIdentity {
   vm: string;
   peerAddress: string;
@@ -55,23 +55,24 @@
  */
 const RESPONSE_TIMEOUT = 1_500;
 /**
- * The same before the peer has sent its first bytes on a connection. A new term
- * holder accepts the connections of all VMs one after the other, and a
- * replacement connection would only queue behind them.
+ * The same timeout for a connection on which the peer has not sent any bytes
+ * yet. A new term holder accepts the connections of all VMs one after the
+ * other, and a replacement connection would only be queued behind them.
  */
 const FIRST_RESPONSE_TIMEOUT = 4_000;
 /**
- * Time after which a connection without traffic is closed, in milliseconds. A
- * connection that was lost without a reset stays open at its other end until
- * then.
+ * Time after which a connection without traffic is closed, in milliseconds. If
+ * one side has replaced a connection that was lost without a reset, the other
+ * side keeps it open until then.
  */
 const IDLE_TIMEOUT = 10_000;
 
-/** Counts of the network's traffic. */
+/** Traffic with all peers since the start. */
 export interface PeerTraffic {
   messagesSent: number;
   bytesSent: number;
   bytesReceived: number;
+  /** Messages that were dropped instead of sent. */
   dropped: number;
   /** Bytes sent, by kind of message. */
   bytesByKind: Map<string, number>;
@@ -83,16 +84,17 @@
   /** The connection that is used for each peer, by the peer's address. */
   readonly #connections = new Map<string, Socket>();
   readonly #sockets = new Set<Socket>();
-  readonly #refusedAt = new Map<string, number>();
-  /** When the first message was sent since the last bytes from the peer. */
+  /** When the last connection to an address failed. */
+  readonly #failedAt = new Map<string, number>();
+  /** When the first message since the peer's last bytes was sent. */
   readonly #unansweredSince = new Map<Socket, number>();
   /** Connections on which the peer has sent bytes. */
   readonly #responsive = new WeakSet<Socket>();
   /** Connections whose peer accepts deflated frames. */
   readonly #deflateCapable = new WeakSet<Socket>();
   /**
-   * Encoded frames of messages that are sent to several peers, by whether they
-   * may be deflated.
+   * Encoded frames of messages that are sent to several peers: for each
+   * message, by whether the frame may be deflated.
    */
   readonly #encodedFrames = new WeakMap<PeerMessage, Map<boolean, Buffer>>();
   readonly traffic: PeerTraffic = {
@@ -111,7 +113,7 @@
     this.#server = createServer((socket) => this.#addSocket(socket));
   }
 
-  /** Creates a network for the process `identity`. */
+  /** Creates a network that does not listen yet. */
   static create(
     identity: PeerIdentity,
     sink: EventSink,
@@ -144,7 +146,10 @@
     socket.write(frame);
   }
 
-  /** A connection on which the peer has responded in time, or null. */
+  /**
+   * Returns a connection to the peer, or null. Replaces one on which the peer
+   * has not responded in time.
+   */
   #liveConnection(address: string): Socket | null {
     const socket = this.#connection(address);
     if (socket === null) return null;
@@ -163,7 +168,9 @@
     return this.#connection(address);
   }
 
-  /** The frame of a message. A message to many peers is encoded once. */
+  /**
+   * Returns the frame of a message. A message to many peers is encoded once.
+   */
   #encode(message: PeerMessage, mayDeflate: boolean): Buffer {
     const frames = this.#encodedFrames.get(message) ??
       new Map<boolean, Buffer>();
@@ -179,15 +186,19 @@
     for (const socket of this.#sockets) socket.destroy();
   }
 
+  /**
+   * Returns the current connection to a peer or opens one. Returns null for a
+   * short time after a connection to the peer has failed.
+   */
   #connection(address: string): Socket | null {
     const existing = this.#connections.get(address);
     if (existing !== undefined) return existing;
-    const refusedAt = this.#refusedAt.get(address) ?? -Infinity;
-    if (monotonicNow() < refusedAt + RECONNECT_DELAY) return null;
+    const failedAt = this.#failedAt.get(address) ?? -Infinity;
+    if (monotonicNow() < failedAt + RECONNECT_DELAY) return null;
     const socket = new Socket();
     const { host, port } = parseAddress(address);
     socket.setTimeout(CONNECT_TIMEOUT);
-    socket.on("error", () => this.#refusedAt.set(address, monotonicNow()));
+    socket.on("error", () => this.#failedAt.set(address, monotonicNow()));
     socket.connect({ host, port });
     this.#addSocket(socket);
     this.#setConnection(address, socket);
--- a/src/runtime/peer_network_test.ts
+++ b/src/runtime/peer_network_test.ts
@@ -50,7 +50,8 @@
 
 test("peer network: both sides use the connection that one has opened", async (t) => {
   const { a, first, second } = await connectNetworks(t);
-  // The first does not listen, so only the existing connection can be used.
+  // The first network does not listen, so only the existing connection can be
+  // used.
   while (first.received.length === 0) {
     second.network.send(a, MESSAGE);
     await delay(10);
@@ -102,23 +103,23 @@
 });
 
 /**
- * Maximum size of a large configuration for one peer, in bytes: 0.11 s of a
- * link of 7 Mbit/s, which also carries the other messages between VMs and all
- * responses to callers.
+ * Maximum size of the message with a large configuration, in bytes: a link of
+ * 7 Mbit/s, which also carries the other messages between VMs and all responses
+ * to callers, needs 0.11 s for it.
  */
 const MAXIMUM_BYTES = 100_000;
 
 test("peer network: a configuration of 2,100 routes does not saturate a slow link", async (t) => {
   const { a, first, second } = await connectNetworks(t);
   await delay(50);
-  const told = largeConfiguration(7);
+  const configuration = largeConfiguration(7);
   const before = second.network.traffic.bytesSent;
   second.network.send(a, {
     kind: "configuration.told",
     term: 1,
     version: 1,
     configuration: 7,
-    told,
+    told: configuration,
   });
   const bytes = second.network.traffic.bytesSent - before;
   while (first.received.length === 0) await delay(10);
@@ -126,7 +127,7 @@
   t.deepEqual(
     received.kind === "peer.received" &&
       received.message.kind === "configuration.told" && received.message.told,
-    told,
+    configuration,
   );
   t.true(bytes < MAXIMUM_BYTES, `${bytes} bytes`);
 });
--- a/src/runtime/raw_callers_test.ts
+++ b/src/runtime/raw_callers_test.ts
@@ -13,7 +13,7 @@
  * paths that were accepted as requests, and whether the connection was closed.
  */
 async function send(t: ExecutionContext, text: string) {
-  const { socket, events: occurrences, read } = await connectCaller(t, {
+  const { socket, events, read } = await connectCaller(t, {
     maximumHeaderBytes: 16_000,
     maximumBodyBytes: 1_000,
     headerTimeout: HEADER_TIMEOUT,
@@ -28,7 +28,7 @@
       setTimeout(() => resolve(false), TIMEOUT)
     ),
   ]);
-  const paths = occurrences.flatMap((each) =>
+  const paths = events.flatMap((each) =>
     each.kind === "request.arrived" ? [each.arrival.target] : []
   );
   const statuses = [...read().matchAll(/HTTP\/1\.1 (\d+)/g)]
@@ -64,7 +64,7 @@
   t.false(isEnded, "its request timeout has not expired");
 });
 
-test("raw callers: different lengths are rejected", async (t) => {
+test("raw callers: contradictory Content-Length headers are rejected", async (t) => {
   const { paths, statuses, isEnded } = await send(
     t,
     post("Content-Length: 2\r\nContent-Length: 30", "ok"),
@@ -73,7 +73,7 @@
   t.true(isEnded);
 });
 
-test("raw callers: a length together with chunks is rejected", async (t) => {
+test("raw callers: a Content-Length together with chunked encoding is rejected", async (t) => {
   const { paths, statuses, isEnded } = await send(
     t,
     post(
--- a/src/runtime/readiness_server.ts
+++ b/src/runtime/readiness_server.ts
@@ -1,6 +1,6 @@
 /**
- * Health check endpoint for the platform's load balancer: whether this VM
- * accepts new connections.
+ * Health check endpoint for the platform's load balancer. It reports whether
+ * this VM accepts new connections.
  *
  * @module
  */
@@ -20,7 +20,7 @@
     });
   }
 
-  /** Creates a server that reports "not ready". */
+  /** Creates a server that reports "not ready". It does not listen yet. */
   static create(): ReadinessServer {
     return new ReadinessServer();
   }
--- a/src/runtime/record_fault_log.ts
+++ b/src/runtime/record_fault_log.ts
@@ -1,8 +1,9 @@
 /**
  * Logs records that cannot be decoded: one line when a fault first occurs and
- * one when it is resolved, instead of one at each read. Every fault is counted.
- * The log covers the reads of this VM only: while the VM receives store updates
- * from the term holder instead, a fault is resolved at the VM's next own read.
+ * one when it is resolved, instead of one at each read. Every occurrence is
+ * counted. The log covers the reads of this VM only: while the VM receives
+ * store updates from the term holder instead, a fault counts as resolved only
+ * after the VM's next own read.
  *
  * @module
  */
@@ -11,8 +12,8 @@
 import type { EntryMetrics } from "./entry_metrics.ts";
 
 /**
- * Maximum number of remembered keys; bounds memory whatever is written. Further
- * faults are counted, and a single line reports them.
+ * Maximum number of faulty keys that are kept in memory, whatever is written to
+ * the store. Further faults are counted, and one line reports them.
  */
 const MAXIMUM_KEYS = 256;
 /** Maximum length of a key in the log, in characters. */
@@ -21,6 +22,7 @@
 /** See the module's comment. */
 export class RecordFaultLog {
   readonly #faultyKeys = new Set<string>();
+  /** Whether the line about further faults has been logged. */
   #isFull = false;
 
   private constructor(
@@ -38,7 +40,7 @@
     return new RecordFaultLog(feed, logger, metrics);
   }
 
-  /** Logs the changes since the previous read. */
+  /** Logs the faults that occurred or were resolved since the previous read. */
   update({ faults, sound, isWhole }: DecodedRead): void {
     const resolvedKeys = isWhole ? [...this.#faultyKeys] : sound;
     const faultyKeys = new Set(faults.map(({ key }) => key));
--- a/src/runtime/request_body.ts
+++ b/src/runtime/request_body.ts
@@ -6,18 +6,22 @@
 import type { IncomingMessage } from "node:http";
 
 /**
- * Receives the result of reading a body. None of these is called if the body is
- * truncated.
+ * Receives the result of reading a body. `onComplete` is not called if the body
+ * is truncated.
  */
 export interface BodyHandler {
-  /** The body is larger than allowed; may be called more than once. */
+  /** Called, possibly more than once, if the body exceeds the limit. */
   onTooLarge(): void;
-  /** The body was read completely. */
+  /**
+   * Called when the body was read to its end. After `onTooLarge`, `body` is
+   * incomplete.
+   */
   onComplete(body: Buffer): void;
 }
 
 /**
- * Reads a body of at most `maximumBytes`, a limit that may change meanwhile.
+ * Reads the body of `request`. `maximumBytes` returns the maximum size, which
+ * may change while the body is read.
  */
 export function readBody(
   request: IncomingMessage,
--- a/src/runtime/request_rejection.ts
+++ b/src/runtime/request_rejection.ts
@@ -1,5 +1,6 @@
 /**
- * Reasons for which a caller's request is rejected, and the responses to it.
+ * Reasons for rejecting a caller's request before it reaches the core, and the
+ * responses to such requests.
  *
  * @module
  */
@@ -17,12 +18,12 @@
 export const BODY_TOO_LARGE = { status: 413, reason: "body too large" };
 export const EXPECTATION_FAILED = { status: 417, reason: "expectation failed" };
 export const HEADERS_TOO_LARGE = { status: 431, reason: "headers too large" };
-/** The status guarantees that the request was not run. */
+/** Status 503 assures the caller that the request was not run. */
 export const READ_TOO_LATE = { status: 503, reason: "its time was over" };
 export const TUNNEL_UNSUPPORTED = { status: 501, reason: "no tunnels" };
 
 /**
- * Rejections by the error code of Node's parser; all other errors are
+ * Rejections by the error code of Node's parser. All other errors lead to
  * {@linkcode BAD_REQUEST}.
  */
 export const PARSER_REJECTIONS: Record<string, RequestRejection> = {
@@ -39,8 +40,8 @@
 }
 
 /**
- * The reason to reject a request for its headers, or null. `limits` is null
- * until a configuration is loaded.
+ * Returns the rejection of a request whose headers are not acceptable, or null.
+ * `limits` is null until a configuration is loaded.
  */
 export function checkHeaders(
   { rawHeaders, url, headers, httpVersion }: IncomingMessage,
@@ -54,7 +55,7 @@
 }
 
 /** Whether the server meets the request's Expect header. */
-export function isMetExpectation({ headers }: IncomingMessage): boolean {
+export function canMeetExpectation({ headers }: IncomingMessage): boolean {
   const { expect } = headers;
   return expect === undefined || /(?:^|\W)100-continue(?:$|\W)/i.test(expect);
 }
--- a/src/runtime/store_link.ts
+++ b/src/runtime/store_link.ts
@@ -1,5 +1,6 @@
 /**
- * Executes the core's calls to the store and reports the result of each.
+ * Executes the core's calls to the store and reports the result of each to the
+ * core as events.
  *
  * @module
  */
@@ -29,12 +30,12 @@
     private readonly timeToLive: number,
     private readonly sink: EventSink,
     private readonly registryFaultLog: RecordFaultLog,
-    private readonly recordFaultLog: RecordFaultLog,
+    private readonly ownershipFaultLog: RecordFaultLog,
   ) {}
 
   /**
-   * Calls `store`; a member of a group expires `timeToLive` milliseconds after
-   * its last call.
+   * Creates a link to `store`. The VM's membership of a group expires
+   * `timeToLive` milliseconds after its last join call.
    */
   static create(
     store: ControlStore,
@@ -98,7 +99,7 @@
   }
 
   /** Claims a term. */
-  async claim({ term, end }: TermClaim): Promise<void> {
+  async claimTerm({ term, end }: TermClaim): Promise<void> {
     const outcome = await this.#write(
       "claim the term",
       () => this.store.claimTerm(term, end),
@@ -109,7 +110,7 @@
   /**
    * Announces to all VMs that this one, reachable at `address`, holds the term.
    */
-  async announce(
+  async announceHolder(
     { term, fitness }: HolderAnnouncement,
     address: string,
   ): Promise<void> {
@@ -121,7 +122,7 @@
   }
 
   /** Reads the recorded assignments for routing. */
-  async fetch(): Promise<void> {
+  async fetchAssignments(): Promise<void> {
     const sentAt = monotonicNow();
     try {
       const { records } = await this.#readRecords();
@@ -149,7 +150,9 @@
   }
 
   /** Records assignments. */
-  async write({ term, sequence, assignments }: AssignmentWrite): Promise<void> {
+  async writeAssignments(
+    { term, sequence, assignments }: AssignmentWrite,
+  ): Promise<void> {
     const outcome = await this.#write(
       "record assignments",
       () => this.store.writeAssignments(term, sequence, assignments),
@@ -167,9 +170,10 @@
     this.sink.push({ kind: "quarantine.written", isDone });
   }
 
+  /** Reads the records of term holders and logs those that are faulty. */
   async #readRecords(): Promise<RecordsRead> {
     const read = await this.store.readRecords();
-    this.recordFaultLog.update(read);
+    this.ownershipFaultLog.update(read);
     return read;
   }
 
