--- a/src/runtime/caller_server.ts
+++ b/src/runtime/caller_server.ts
@@ -108,7 +108,7 @@
   readonly #connections = new Map<Duplex, CallerConnection>();
   #limits: CallerLimits | null = null;
   #exchangeCount = 0;
-  #unreadRequests = 0;
+  #discardedRequests = 0;
   #lateRequests = 0;
   #isDraining = false;
   #isClosed = false;
@@ -201,7 +201,7 @@
       connections: this.#connections.size,
       unanswered,
       unsent: pending - unanswered,
-      notTaken: this.#unreadRequests,
+      notTaken: this.#discardedRequests,
       late: this.#lateRequests,
     };
   }
@@ -284,7 +284,7 @@
   #handleRequest(request: IncomingMessage, response: ServerResponse): void {
     const connection = this.#connections.get(request.socket);
     if (connection === undefined || !connection.isAccepting) {
-      this.#unreadRequests += 1;
+      this.#discardedRequests += 1;
       request.resume();
       return;
     }
--- a/src/runtime/elapsed_clock.ts
+++ b/src/runtime/elapsed_clock.ts
@@ -88,7 +88,7 @@
   }
 
   /**
-   * Calls `listener` for each jump, before a time after the jump is returned.
+   * Calls `listener` for each jump, before `now` returns a time after the jump.
    * Returns a function that removes the listener.
    */
   onJump(listener: (jump: ClockJump) => void): () => void {
--- a/src/runtime/entry_process_test.ts
+++ b/src/runtime/entry_process_test.ts
@@ -4,7 +4,7 @@
  * connections some seconds after SIGTERM, and used to exit in the same step if
  * the core had no pending request. The core does not know of a request whose
  * body is still being read, nor of a response that waits for a slow reader:
- * both were cut. The first test then received no response, and of 14,297
+ * both were cut off. The first test then received no response, and of 14,297
  * responses to a slow caller 528 arrived.
  *
  * @module
--- a/src/runtime/request_rejection.ts
+++ b/src/runtime/request_rejection.ts
@@ -54,7 +54,10 @@
   return size > limits.maximumHeaderBytes ? HEADERS_TOO_LARGE : null;
 }
 
-/** Whether the server meets the request's Expect header. */
+/**
+ * Whether a request has no Expect header, or one that Node can meet:
+ * 100-continue.
+ */
 export function canMeetExpectation({ headers }: IncomingMessage): boolean {
   const { expect } = headers;
   return expect === undefined || /(?:^|\W)100-continue(?:$|\W)/i.test(expect);
