--- a/src/launcher/compiled_program.ts
+++ b/src/launcher/compiled_program.ts
@@ -1,10 +1,10 @@
 /**
  * Loads the bundled program with the V8 code cache that was written at build time.
  *
- * Compiling the bundle takes a third of the processor time of a start, and a VM that
- * was killed accepts no callers until its process has started again. V8 rejects a code
- * cache that was made by another version of Node.js or with other flags; the program
- * is then compiled as usual.
+ * Without the cache, compiling the bundle takes a third of the processor time of a
+ * start, and a VM whose process was killed accepts no callers until it has started
+ * again. V8 rejects a code cache that was made by another version of Node.js or with
+ * other flags; the program is then compiled as usual.
  *
  * @module
  */
@@ -13,12 +13,12 @@
 import { dirname, join } from "node:path";
 import { Script } from "node:vm";
 
-/** File name of the bundle, which contains only ASCII, in the launcher's folder. */
+/** File name of the bundle in the launcher's folder. The bundle is pure ASCII. */
 const PROGRAM_FILE = "program.cjs";
 /** File name of the V8 code cache of the bundle, in the same folder. */
 const CODE_CACHE_FILE = "program.code";
 
-/** The function that wraps a CommonJS module. */
+/** The function in which Node.js wraps a CommonJS module. */
 type ModuleFunction = (
   exports: object,
   require: NodeJS.Require,
--- a/src/launcher/compiled_program_test.ts
+++ b/src/launcher/compiled_program_test.ts
@@ -5,18 +5,18 @@
 import { CompiledProgram } from "./compiled_program.ts";
 
 /** Name of the global variable that the program sets. */
-const KEY = "compiledProgramTest";
+const GLOBAL = "compiledProgramTest";
 
 /** Creates a folder with a program that records the folder it ran in. */
 function createFolder(): string {
   const folder = mkdtempSync(join(tmpdir(), "plumloft-launcher-"));
   const source =
-    `globalThis.${KEY}=[__dirname,typeof require("node:fs").statSync];`;
+    `globalThis.${GLOBAL}=[__dirname,typeof require("node:fs").statSync];`;
   writeFileSync(join(folder, "program.cjs"), source);
   return folder;
 }
 
-const readResult = () => (globalThis as Record<string, unknown>)[KEY];
+const readResult = () => (globalThis as Record<string, unknown>)[GLOBAL];
 
 test.serial("launcher: runs the program, and uses the written code cache the next time", (t) => {
   const folder = createFolder();
--- a/src/logging/batched_transport.ts
+++ b/src/logging/batched_transport.ts
@@ -11,15 +11,16 @@
 
 /** Key under which winston stores the formatted line. */
 const MESSAGE = Symbol.for("message");
-/** Size of the batch at which it is written immediately, in characters. */
+/** Size at which a batch is written immediately, in characters. */
 const FLUSH_SIZE = 32 * 1024;
-/** Longest time for which a line waits in the batch, in milliseconds. */
+/** Maximum time for which a line stays in the batch, in milliseconds. */
 const FLUSH_INTERVAL = 50;
 /** Maximum bytes buffered in the output stream; further lines are dropped. */
 const MAXIMUM_PENDING_BYTES = 8 * 1024 * 1024;
 
 /** See the module's comment. */
 export class BatchedTransport extends Transport {
+  /** The batch: complete lines. */
   #lines = "";
   #timer: NodeJS.Timeout | null = null;
   #dropped = 0;
@@ -27,7 +28,7 @@
 
   private constructor(private readonly output: Writable) {
     super();
-    // The reader of the log has closed it. The process continues without logging.
+    // The log output was closed. The process continues without logging.
     output.on("error", () => this.#isBroken = true);
   }
 
@@ -53,7 +54,7 @@
     next();
   }
 
-  /** Writes the collected lines. */
+  /** Writes the batch immediately. */
   flush(): void {
     if (this.#timer !== null) clearTimeout(this.#timer);
     this.#timer = null;
--- a/src/logging/logger.ts
+++ b/src/logging/logger.ts
@@ -1,6 +1,6 @@
 /**
- * Logger of one process. It writes JSON lines with the time, level, VM, message and
- * further fields.
+ * Logger of one process. It writes one JSON object a line, with the time, level, VM,
+ * message and further fields.
  *
  * @module
  */
@@ -14,6 +14,7 @@
 /** Additional fields of a log line. */
 export type LogFields = Record<string, string | number | boolean | null>;
 
+/** Key under which winston stores the formatted line. */
 const MESSAGE = Symbol.for("message");
 
 /** See the module's comment. */
@@ -29,8 +30,8 @@
   static create(vm: string, level: LogLevel, output: Writable): Logger {
     const transport = BatchedTransport.create(output);
     const jsonFormat = winston.format((info) => {
-      // The only place that serializes a record: serialization is most of the cost
-      // of a line, so it is done once.
+      // The only place that serializes a line: serialization is most of the cost of a
+      // line, so it is done once.
       (info as unknown as Record<symbol, string>)[MESSAGE] = JSON.stringify(
         info,
       );
--- a/src/logging/request_trace.ts
+++ b/src/logging/request_trace.ts
@@ -1,21 +1,24 @@
 /**
- * Reconstructs the course of a request from the logs of one or more processes.
+ * Reconstructs what happened to a request from the logs of one or more processes.
  *
  * @module
  */
 
 /** A log line about the request. */
 export interface TraceLine {
+  /** Time in ISO 8601 format. */
   time: string;
   vm: string;
+  /** Message of the line, such as `request.refused`. */
   decision: string;
+  /** Further fields of the line. */
   detail: Record<string, unknown>;
 }
 
 /** The log lines of a request and its outcome. */
 export interface RequestTrace {
   lines: TraceLine[];
-  /** Outcome of the request and its cause, in one sentence. */
+  /** Outcome of the request and its cause, as one phrase. */
   cause: string;
 }
 
@@ -61,49 +64,51 @@
 
 /** Explains the outcome of a request from the last line that determines it. */
 function explainOutcome(lines: readonly TraceLine[]): string {
-  const last = lines.findLast((entry) => entry.decision in OUTCOMES);
+  const last = lines.findLast((line) => line.decision in OUTCOMES);
   if (last !== undefined) return OUTCOMES[last.decision](last.detail, lines);
   return lines.length === 0
     ? "no line names this request: it was served at once, or not by these VMs"
     : "no final line: the process ended, or its lines were dropped";
 }
 
+/** Explains an outcome from the detail of its line and all lines of the request. */
 type Explanation = (
   detail: Record<string, unknown>,
   lines: readonly TraceLine[],
 ) => string;
 
+/** Explanations by the message of the line that determines the outcome. */
 const OUTCOMES: Record<string, Explanation> = {
   "request.refused": ({ service, reason, age }, lines) => {
-    const shed = lines.findLast((entry) =>
-      entry.decision === "request.crowded_out"
+    const shed = lines.findLast((line) =>
+      line.decision === "request.crowded_out"
     );
     if (shed !== undefined) {
       const { share, limitAge } = shed.detail;
       return `503 after ${age} ms, not run: ${reason}: ${share} of its requests are admitted, by the limit that the term holder sent ${limitAge} ms before (service ${service})`;
     }
-    const quarantined = lines.findLast((entry) =>
-      entry.decision === "request.held_back"
+    const quarantined = lines.findLast((line) =>
+      line.decision === "request.held_back"
     );
     if (quarantined !== undefined) {
       const { fingerprint, ends, left } = quarantined.detail;
       return `429 after ${age} ms, not run: ${reason}: ${ends}, quarantined for ${left} ms more; log lines with fingerprint ${fingerprint} name the servers (service ${service})`;
     }
-    const refusal = lines.findLast((entry) =>
-      entry.decision === "attempt.not_run"
+    const refusal = lines.findLast((line) =>
+      line.decision === "attempt.not_run"
     );
     const why = refusal === undefined
       ? `${reason}`
-      : `server ${refusal.detail.server} answered ${refusal.detail.status} without running it`;
+      : `server ${refusal.detail.server} responded ${refusal.detail.status} without running it`;
     return `503 after ${age} ms, not run: ${why} (service ${service})`;
   },
   "request.failed": ({ status, reason }, lines) => {
-    const uncertain = lines.findLast((entry) =>
-      entry.decision === "request.unknown" ||
-      entry.decision === "request.timed_out"
+    const uncertain = lines.findLast((line) =>
+      line.decision === "request.unknown" ||
+      line.decision === "request.timed_out"
     );
     const server = uncertain?.detail.server ?? "the server";
-    return `${status}: ${server} may have run it, but its answer did not arrive (${reason})`;
+    return `${status}: ${server} may have run it, but its response did not arrive (${reason})`;
   },
   "request.delivered": ({ server, status, age, isLate }) =>
     `${status} from server ${server} after ${age} ms${isLate ? ", late" : ""}`,
--- a/src/metrics/latency_histogram.ts
+++ b/src/metrics/latency_histogram.ts
@@ -1,5 +1,5 @@
 /**
- * Latency histogram of callers' requests.
+ * Histogram of durations, such as the latencies of callers' requests.
  *
  * @module
  */
@@ -21,6 +21,7 @@
 
 /** A histogram of durations with three significant digits. */
 export class LatencyHistogram {
+  /** Counts microseconds, up to one minute. */
   readonly #histogram: Histogram = build({
     lowestDiscernibleValue: 1,
     highestTrackableValue: 60 * 1_000 * MICROSECONDS_PER_MILLISECOND,
--- a/src/stand_ins/backend_service.ts
+++ b/src/stand_ins/backend_service.ts
@@ -1,7 +1,7 @@
 /**
- * Stand-in for a backend server: registers itself in the store, holds keys under
- * leases that it is granted, runs a bounded number of requests concurrently, sheds or
- * resets the rest, and records every request that ran.
+ * Stand-in for a backend server: registers itself in the store, accepts leases for
+ * keys, runs a bounded number of requests concurrently, refuses the rest or resets
+ * their connections, and records every request that ran.
  *
  * `POST` returns the body that was sent; `PUT` stores the body under the path; `GET`
  * returns the body that is stored there.
@@ -43,8 +43,8 @@
   /** Processing time of a request. */
   work: z.number().nonnegative().default(1),
   heartbeatInterval: z.number().positive().default(870),
-  /** Path with query whose requests terminate the process after they ran: no answer is
-   * sent, and all its connections are reset. None if absent. */
+  /** Path with query whose requests crash the process after they ran: no response is
+   * sent, and all connections are reset. None if absent. */
   endedBy: z.string().optional(),
   /** File to which each run is appended when it starts; none if absent. */
   runsFile: z.string().optional(),
@@ -57,22 +57,24 @@
 export const backendFaultsSchema = z.strictObject({
   /** Refuses all requests. */
   shed: z.boolean().default(false),
-  /** Number of next requests that run but get no answer. */
+  /** Number of upcoming requests that run but get no response. */
   loseAnswers: z.number().int().nonnegative().default(0),
-  /** Number of next answers that carry the id of another request. */
+  /** Number of upcoming responses that carry the id of another request. */
   crossed: z.number().int().nonnegative().default(0),
   /** Registers itself as draining. */
   draining: z.boolean().default(false),
-  /** Processing time of a request, which overrides the one in the settings. */
+  /** Processing time of a request; null for the one in the settings. */
   work: z.number().nonnegative().nullable().default(null),
-  /** Rate limit that it reports, in requests per second from all VMs combined; it does
-   * not enforce the limit. */
+  /** Rate limit that it reports but does not enforce, in requests per second from all
+   * VMs combined; null for none. */
   rateLimit: z.string().nullable().default(null),
 });
 
 /** See {@linkcode backendFaultsSchema}. */
 export type BackendFaults = z.infer<typeof backendFaultsSchema>;
 
+/** A grant order. `from` and `target` are the first and last key; `holdTime` is the
+ * duration of the lease in milliseconds. */
 const grantSchema = z.object({
   from: z.number(),
   target: z.number(),
@@ -81,6 +83,7 @@
 });
 const releaseSchema = grantSchema.omit({ holdTime: true });
 
+/** A range of keys with a lease; `expiresAt` is in Unix milliseconds. */
 interface GrantedRange {
   from: number;
   target: number;
@@ -169,6 +172,7 @@
     }
   }
 
+  /** Handles a grant order, which replaces older leases of the same keys. */
   #grant(grant: z.infer<typeof grantSchema>, response: ServerResponse): void {
     const isSuperseded = this.#receivedOrders.some((each) =>
       each.from <= grant.target && grant.from <= each.target &&
@@ -182,6 +186,7 @@
     sendJson(response, 200, {});
   }
 
+  /** Handles a release order. */
   #release(order: z.infer<typeof releaseSchema>, response: ServerResponse) {
     this.#receivedOrders.push(order);
     this.#removeRange(order);
@@ -241,6 +246,7 @@
     );
   }
 
+  /** Runs a request: records the run and waits for the processing time. */
   async #run(
     request: IncomingMessage,
     id: string,
@@ -284,7 +290,7 @@
     }
     const path = request.url ?? "/";
     if (request.method === "PUT") this.#stored.set(path, body);
-    const answer = request.method === "GET"
+    const responseBody = request.method === "GET"
       ? this.#stored.get(path) ?? Buffer.alloc(0)
       : body;
     const { running, waiting, slots } = this.#queue;
@@ -293,10 +299,10 @@
     if (rateLimit !== null) response.setHeader(HEADER.rateLimit, rateLimit);
     response.setHeader(
       HEADER.signature,
-      `${this.settings.id}.${answer.length}`,
+      `${this.settings.id}.${responseBody.length}`,
     );
-    response.setHeader("content-length", answer.length);
-    response.end(answer);
+    response.setHeader("content-length", responseBody.length);
+    response.end(responseBody);
   }
 
   /** Writes its entry to the store. A failure is logged; the next heartbeat retries. */
@@ -315,11 +321,11 @@
     };
     try {
       const path = `/-/log-append?topic=${REGISTRY_TOPIC}&part=0`;
-      const answer = await send(`http://${store}${path}`, {
+      const response = await send(`http://${store}${path}`, {
         method: "POST",
         body: frameRecord(id, JSON.stringify(entry)),
       });
-      await answer.body.dump();
+      await response.body.dump();
     } catch (error) {
       process.stderr.write(`${id}: cannot register: ${errorText(error)}\n`);
     }
--- a/src/stand_ins/producer_table.ts
+++ b/src/stand_ins/producer_table.ts
@@ -1,6 +1,6 @@
 /**
- * Producer state of a topic in the stand-in store: the newest epoch of each producer,
- * and the answers to its last appends, which are returned again for a repeated append.
+ * Producers of a topic in the stand-in store: the newest epoch of each, and the answers
+ * to its last appends, which are returned again for a repeated append.
  *
  * @module
  */
@@ -8,13 +8,15 @@
 /** Number of appends of a producer whose answers are retained. */
 const RETAINED_ANSWERS = 5;
 
-/** Answer to an append: the offset of its first record, and where the log then ends. */
+/** Answer to an append. */
 export interface AppendAnswer {
+  /** Offset of the first appended record. */
   offset: number;
+  /** Offset at which the log ends after the append. */
   end: number;
 }
 
-/** Identifies an append, so that a repetition is recognized whoever sends it. */
+/** Identity of an append. A repetition has the same one, even from another VM. */
 interface AppendIdentity {
   producer: string;
   epoch: number;
@@ -27,7 +29,7 @@
   answers: Map<number, AppendAnswer>;
 }
 
-/** See the module's comment. Each `query` is the query of an append. */
+/** See the module's comment. All parameters `query` are the query of an append call. */
 export class ProducerTable {
   readonly #producers = new Map<string, Producer>();
 
@@ -45,7 +47,7 @@
     return this.#currentAnswers(identity)?.get(identity.sequence);
   }
 
-  /** Returns the reason why a new append is rejected, or null if it is accepted. */
+  /** Returns the error of a new append that must be rejected, or null. */
   checkAppend(query: URLSearchParams): object | null {
     const identity = parseIdentity(query);
     if (identity === null) return null;
@@ -77,7 +79,7 @@
   }
 }
 
-/** Parses the identity of an append; null if its query names no producer. */
+/** Returns the identity of an append, or null if its query names no producer. */
 function parseIdentity(query: URLSearchParams): AppendIdentity | null {
   const producer = query.get("producer");
   if (producer === null) return null;
--- a/src/stand_ins/stand_in.ts
+++ b/src/stand_ins/stand_in.ts
@@ -1,5 +1,6 @@
 /**
- * Base of the stand-ins: a small HTTP service that answers in JSON.
+ * Base class of the stand-ins, which simulate services of the platform, and helpers
+ * to read requests and send JSON responses.
  *
  * @module
  */
@@ -12,7 +13,7 @@
 import type { AddressInfo } from "node:net";
 import { parseAddress } from "../settings/address.ts";
 
-/** A simulated service of the surrounding platform: an HTTP server at its own address. */
+/** A simulated service of the platform: an HTTP server at its own address. */
 export abstract class StandIn {
   readonly #server: Server;
 
@@ -37,7 +38,7 @@
     this.#server.closeAllConnections();
   }
 
-  /** Handles one request. An error is answered with status 400. */
+  /** Handles one request. If it rejects, the response has status 400. */
   protected abstract handle(
     request: IncomingMessage,
     response: ServerResponse,
@@ -60,7 +61,7 @@
   }
 }
 
-/** Sends `value` as a JSON answer. */
+/** Sends `value` as a JSON response. */
 export function sendJson(
   response: ServerResponse,
   status: number,
--- a/src/stand_ins/store_service.ts
+++ b/src/stand_ins/store_service.ts
@@ -1,7 +1,7 @@
 /**
  * Stand-in for the platform's store: a log with keyed topics, conditional appends,
- * producers with epochs, and groups whose members share partitions. Faults can be
- * injected while it runs.
+ * producers with epochs, and groups that distribute partitions among their members.
+ * Faults can be injected while it runs.
  *
  * @module
  */
@@ -16,6 +16,7 @@
 /** Settings of the stand-in. Durations are milliseconds. */
 export const storeServiceSchema = z.strictObject({
   listen: addressSchema,
+  /** Number of partitions that a group distributes among its members. */
   partitions: z.number().int().positive().default(12),
   /** Time without a heartbeat after which a backend server's entry is removed. */
   entryLifetime: z.number().positive().default(2_600),
@@ -30,7 +31,7 @@
   outage: z.boolean().default(false),
   /** Delay added to each call, in milliseconds. */
   delay: z.number().nonnegative().default(0),
-  /** Number of next appends that take effect but get no answer. */
+  /** Number of upcoming appends that take effect but get no answer. */
   loseAnswers: z.number().int().nonnegative().default(0),
   /** Number of newest log records kept, besides the newest record of each key. */
   retention: z.number().int().nonnegative().default(10_000),
@@ -47,15 +48,21 @@
 const LENGTH_BYTES = 4;
 
 interface Topic {
+  /** Offset of the oldest record that is retained. */
   first: number;
+  /** Contents of the retained records, oldest first. */
   records: Buffer[];
+  /** Newest record of each key; `at` is when it was written, in Unix milliseconds. */
   newest: Map<string, { value: Buffer; offset: number; at: number }>;
   producers: ProducerTable;
+  /** Called after each append, to end long polls. */
   waiters: Set<() => void>;
 }
 
 interface Group {
+  /** Number that grows with each change of the members. */
   generation: number;
+  /** When each membership expires, in Unix milliseconds, by the member's id. */
   members: Map<string, number>;
 }
 
@@ -163,6 +170,7 @@
     sendJson(response, 200, { offset, end });
   }
 
+  /** Writes a record and removes the oldest ones that exceed the retention. */
   #write(topic: Topic, content: Buffer): void {
     const offset = topic.first + topic.records.length;
     topic.records.push(content);
@@ -213,6 +221,7 @@
     });
   }
 
+  /** Answers with the newest record of every key, in a single page. */
   #newest(query: URLSearchParams, response: ServerResponse): void {
     const topic = this.#getTopic(query.get("topic") ?? "");
     const items = [...topic.newest].map(([key, { value, offset }]) => ({
@@ -256,7 +265,7 @@
     sendJson(response, 200, {});
   }
 
-  /** Removes the entries of backend servers that have sent no heartbeat for too long. */
+  /** Deletes the entries of backend servers whose heartbeats have stopped. */
   #removeExpiredEntries(): void {
     const topic = this.#topics.get(REGISTRY_TOPIC);
     if (topic === undefined) return;
@@ -282,6 +291,7 @@
   }
 }
 
+/** Splits the body of an append into the contents of its records. */
 function splitRecords(body: Buffer): Buffer[] {
   const records: Buffer[] = [];
   let position = 0;
@@ -294,6 +304,7 @@
   return records;
 }
 
+/** Prepends the length field to the content of a record. */
 function frameContent(content: Buffer): Buffer {
   const length = Buffer.alloc(LENGTH_BYTES);
   length.writeUInt32BE(content.length);
--- a/src/stand_ins/work_queue.ts
+++ b/src/stand_ins/work_queue.ts
@@ -1,6 +1,6 @@
 /**
  * Admission control of a stand-in backend server: a fixed number of requests runs
- * concurrently, a bounded number waits in a queue, and the rest is shed.
+ * concurrently, a bounded number waits in a queue, and the rest is refused.
  *
  * @module
  */
@@ -36,7 +36,7 @@
   }
 
   /** Resolves to true when a slot has been acquired, or to false if the queue is full
-   * and the request is shed. */
+   * and the request must be refused. */
   acquire(): Promise<boolean> {
     if (this.#running < this.slots) {
       this.#running += 1;
@@ -48,7 +48,7 @@
     });
   }
 
-  /** Releases a slot, which passes to the request that has waited longest. */
+  /** Releases a slot; the request that has waited longest acquires it. */
   release(): void {
     const next = this.#waiting.shift();
     if (next === undefined) this.#running -= 1;
