--- a/src/core/dispatch/cold_admission.ts
+++ b/src/core/dispatch/cold_admission.ts
@@ -21,7 +21,7 @@
 export class ColdAdmission {
   private constructor(
     private readonly catalog: Catalog,
-    private readonly vms: () => number | null,
+    private readonly vmCount: () => number | null,
     private readonly rateShare: RateShare,
   ) {}
 
@@ -48,10 +48,10 @@
   }
 
   /** Records that a request was sent to a server. */
-  started(server: TrackedServer, now: number): void {
+  requestSent(server: TrackedServer, now: number): void {
     const interval = this.#interval(server, now);
     if (interval === null) this.rateShare.forget(server.id);
-    else this.rateShare.started(server.id, interval, now);
+    else this.rateShare.requestSent(server.id, interval, now);
   }
 
   /** Interval between requests of this VM to a server; null if it is not cold. */
@@ -60,6 +60,6 @@
     if (warmUp === undefined || !server.isCold(now, warmUp.duration)) {
       return null;
     }
-    return 1_000 * (this.vms() ?? ASSUMED_VMS) / warmUp.requestsPerSecond;
+    return 1_000 * (this.vmCount() ?? ASSUMED_VMS) / warmUp.requestsPerSecond;
   }
 }
--- a/src/core/dispatch/cold_admission_test.ts
+++ b/src/core/dispatch/cold_admission_test.ts
@@ -65,7 +65,7 @@
     const { admission, fleet, from } = entries[Math.floor(draw() * vms)];
     const server = fleet.get("s")!;
     if (now < from || !admission.maySend(server, now)) continue;
-    admission.started(server, now);
+    admission.requestSent(server, now);
     times.push(now);
   }
   return times;
@@ -155,7 +155,7 @@
   // However long ago the refused connection was, the first requests are limited.
   t.false(admission.maySend(server, 50_000));
   server.started(2, 58_000);
-  admission.started(server, 58_000);
+  admission.requestSent(server, 58_000);
   server.answered(2, 58_100, null);
   t.false(admission.maySend(server, 58_200));
   t.true(admission.maySend(server, 58_100 + WARM_UP));
@@ -187,6 +187,6 @@
   const firstSendAt = 0.5 * 1_000 / RATE;
   const chosen = choose(firstSendAt);
   t.is(chosen.id, "s");
-  cold.started(chosen, firstSendAt);
+  cold.requestSent(chosen, firstSendAt);
   t.not(choose(firstSendAt + 1).id, "s");
 });
--- a/src/core/dispatch/dispatcher.ts
+++ b/src/core/dispatch/dispatcher.ts
@@ -263,7 +263,7 @@
     this.#attemptCount += 1;
     const number = this.#attemptCount;
     const range = this.#assignedRange(request);
-    if (range !== null) this.#rangeBackoff.sent(range, now);
+    if (range !== null) this.#rangeBackoff.requestSent(range, now);
     const attempt: Attempt = {
       number,
       server: server.id,
@@ -286,7 +286,7 @@
       assignments: `${term}.${version}`,
     });
     server.started(number, now);
-    this.context.cold.started(server, now);
+    this.context.cold.requestSent(server, now);
     this.context.tokens.started(server, now);
     this.#effects.push({
       kind: "attempt.start",
--- a/src/core/dispatch/range_backoff.ts
+++ b/src/core/dispatch/range_backoff.ts
@@ -46,7 +46,7 @@
 
   /** Records a request that was sent for `range`. During a backoff it is a probe, and the
    * other requests wait for another delay. */
-  sent(range: AssignedRange, now: number): void {
+  requestSent(range: AssignedRange, now: number): void {
     const backoff = this.#backoffs.get(range);
     if (backoff !== undefined) backoff.blockedUntil = now + backoff.delay;
   }
--- a/src/core/quarantine/crash_detector.ts
+++ b/src/core/quarantine/crash_detector.ts
@@ -1,16 +1,17 @@
 /**
- * Detects server crashes and attributes them to the requests in progress.
+ * Detects crashes of server processes and attributes them to the requests that were in
+ * progress on the process.
  *
- * A broken connection alone is no evidence of a crash: servers reset requests when they
- * are full, close idle connections, lose responses and become unreachable. A request
+ * A broken connection alone is no evidence of a crash: servers reset connections when
+ * they are overloaded, close idle ones, lose responses and become unreachable. A request
  * whose connection broke is therefore recorded, and a crash is attributed to it only
- * once its server is known to have ended: connections to its address are refused,
- * another incarnation responds there, or the registry reports it. The end of a draining
- * server is expected and is not a crash.
+ * once its server process is known to have exited: connections to its address are
+ * refused, another incarnation responds there, or the registry reports the removal or
+ * restart of the server. The exit of a draining server is expected and is not a crash.
  *
- * The registry takes seconds to report the end of a server, and reports nothing during
- * an outage of the store. The address of a server is therefore probed as soon as a
- * connection to it breaks.
+ * The registry takes seconds to report that a server has exited, and reports nothing
+ * during an outage of the store. The address of a server is therefore probed as soon as
+ * a connection to it breaks.
  *
  * @module
  */
@@ -18,16 +19,17 @@
 import { MAXIMUM_TARGET_LENGTH } from "./crash_record.ts";
 import type { Quarantine } from "./quarantine.ts";
 
-/** Time for which broken attempts and the end of a run are kept, in milliseconds. A
- * registry removes a server's entry after a few missed heartbeats. */
+/** Time for which broken attempts and the exit of a process are kept, in milliseconds. It
+ * exceeds the time of the few missed heartbeats after which a registry removes a
+ * server's entry. */
 const EVIDENCE_LIFETIME = 6_000;
 /** Maximum number of broken attempts that are kept per server. */
 const MAXIMUM_BROKEN_ATTEMPTS = 64;
 /** Maximum number of servers for which state is kept. */
 const MAXIMUM_SERVERS = 1_024;
 /** Initial and maximum pause between two probes of a server's address, in milliseconds.
- * It doubles with each probe that succeeds, since a probe is a connection that the
- * server has to accept, and a server that is full resets many requests. */
+ * It doubles with each successful probe, since a probe is a connection that the server
+ * has to accept, and an overloaded server resets the connections of many requests. */
 const INITIAL_PROBE_PAUSE = 1_000;
 const MAXIMUM_PROBE_PAUSE = 16_000;
 
@@ -39,9 +41,9 @@
   address: string;
 }
 
-/** A request whose connection to the server broke, without its body. */
+/** A request whose connection to the server broke. */
 export interface BrokenRequest {
-  /** Request id assigned by the caller. */
+  /** Request id that the caller assigned. */
   id: string;
   /** Host and path. */
   target: string;
@@ -49,11 +51,11 @@
   fingerprint: string;
 }
 
-/** A request that was in progress on a server when the server crashed. */
+/** A crash that is attributed to a request, which was in progress on the server. */
 export interface CrashAttribution {
   request: BrokenRequest;
   server: string;
-  /** Whether this crash under this request was not known before. */
+  /** Whether the record of the request did not contain this crash before. */
   isNew: boolean;
 }
 
@@ -62,15 +64,17 @@
   at: number;
 }
 
-/** State of one run of a server. */
-interface ServerRun {
-  /** The server's id and incarnation. */
-  run: string;
-  /** When it was observed to have ended, or null. */
-  endedAt: number | null;
+/** State of one server process. */
+interface ProcessState {
+  /** Name of the process: the server's id and incarnation. */
+  name: string;
+  /** When its exit was observed, or null. */
+  exitedAt: number | null;
+  /** Requests whose connections to it broke. */
   broken: BrokenAttempt[];
-  /** When its address was last probed. */
+  /** When its address was last probed; -Infinity for never. */
   probedAt: number;
+  /** Minimum time until the next probe, in milliseconds. */
   probePause: number;
   /** When this state was last used. */
   seenAt: number;
@@ -79,33 +83,34 @@
 /** See the module's comment. Times are milliseconds. */
 export class CrashDetector {
   /** State by the server's id. */
-  readonly #runs = new Map<string, ServerRun>();
+  readonly #states = new Map<string, ProcessState>();
 
   private constructor(
     private readonly quarantine: Quarantine,
-    private readonly reportCrash: (accusation: CrashAttribution) => void,
+    private readonly reportCrash: (crash: CrashAttribution) => void,
   ) {}
 
   /** Starts without state. Crashes are recorded in `quarantine` and passed to
    * `reportCrash`. */
   static create(
     quarantine: Quarantine,
-    reportCrash: (accusation: CrashAttribution) => void,
+    reportCrash: (crash: CrashAttribution) => void,
   ): CrashDetector {
     return new CrashDetector(quarantine, reportCrash);
   }
 
   /** Records that the connection broke after a request was sent. Returns a probe of the
-   * server if one is due. */
+   * server's address, or null if the exit of the server is already known or expected or
+   * its address was probed recently. */
   connectionBroke(
     server: TrackedServer,
     request: BrokenRequest,
     now: number,
   ): ServerProbe | null {
     if (server.entry.isDraining) return null;
-    const state = this.#currentRun(server, now);
-    if (state.endedAt !== null) {
-      this.#attribute(server.id, state.run, request, now);
+    const state = this.#currentState(server, now);
+    if (state.exitedAt !== null) {
+      this.#attribute(server.id, state.name, request, now);
       return null;
     }
     const recent = state.broken.filter(({ at }) =>
@@ -120,82 +125,89 @@
     return { kind: "server.check", server: server.id, address };
   }
 
-  /** Records that a server refused a connection or was replaced by another incarnation. */
+  /** Records that the known process of a server has exited: its address refused a
+   * connection, or another incarnation responded there. */
   ended(server: TrackedServer | undefined, now: number): void {
     if (server === undefined || server.entry.isDraining) return;
-    const state = this.#currentRun(server, now);
-    state.endedAt ??= now;
+    const state = this.#currentState(server, now);
+    state.exitedAt ??= now;
     this.#attributeAll(server.id, state, now);
   }
 
-  /** Records a successful probe: the server, or another incarnation, is running. */
+  /** Records that a server's address accepted a probe: some process runs there, the known
+   * one or another. */
   probeSucceeded(server: string): void {
-    const state = this.#runs.get(server);
+    const state = this.#states.get(server);
     if (state === undefined) return;
     const pause = state.probePause * 2;
     state.probePause = Math.min(MAXIMUM_PROBE_PAUSE, pause);
   }
 
-  /** Applies changes to the registry's list of servers. */
+  /** Applies changes to the list of servers in the registry. */
   changed(changes: readonly FleetChange[], now: number): void {
     for (const { kind, server } of changes) {
-      const state = this.#runs.get(server.id);
+      const state = this.#states.get(server.id);
       if (state === undefined) continue;
-      if (kind === "draining") this.#runs.delete(server.id);
+      if (kind === "draining") this.#states.delete(server.id);
       if (kind !== "removed" && kind !== "restarted") continue;
       if (!server.isDraining) this.#attributeAll(server.id, state, now);
-      this.#runs.delete(server.id);
+      this.#states.delete(server.id);
     }
   }
 
-  #attributeAll(server: string, state: ServerRun, now: number): void {
+  #attributeAll(server: string, state: ProcessState, now: number): void {
     for (const { request, at } of state.broken.splice(0)) {
       if (now - at <= EVIDENCE_LIFETIME) {
-        this.#attribute(server, state.run, request, now);
+        this.#attribute(server, state.name, request, now);
       }
     }
   }
 
   #attribute(
     server: string,
-    run: string,
+    processName: string,
     request: BrokenRequest,
     now: number,
   ): void {
     const { fingerprint, target } = request;
-    const isNews = this.quarantine.recordCrash(fingerprint, target, run, now);
-    this.reportCrash({ request, server, isNew: isNews });
+    const isNew = this.quarantine.recordCrash(
+      fingerprint,
+      target,
+      processName,
+      now,
+    );
+    this.reportCrash({ request, server, isNew });
   }
 
-  /** The state of a server's current run, which is created if necessary. */
-  #currentRun(server: TrackedServer, now: number): ServerRun {
+  /** Returns the state of a server's current process, which it creates if necessary. */
+  #currentState(server: TrackedServer, now: number): ProcessState {
     const { id, incarnation } = server.entry;
-    const run = `${id}#${incarnation}`;
-    const known = this.#runs.get(id);
-    if (known?.run === run) {
+    const name = `${id}#${incarnation}`;
+    const known = this.#states.get(id);
+    if (known?.name === name) {
       known.seenAt = now;
-      if (known.endedAt !== null && now - known.endedAt > EVIDENCE_LIFETIME) {
-        known.endedAt = null;
+      if (known.exitedAt !== null && now - known.exitedAt > EVIDENCE_LIFETIME) {
+        known.exitedAt = null;
       }
       return known;
     }
-    const state: ServerRun = {
-      run,
-      endedAt: null,
+    const state: ProcessState = {
+      name,
+      exitedAt: null,
       broken: [],
       probedAt: -Infinity,
       probePause: INITIAL_PROBE_PAUSE,
       seenAt: now,
     };
-    this.#runs.set(id, state);
-    if (this.#runs.size > MAXIMUM_SERVERS) this.#evict(now);
+    this.#states.set(id, state);
+    if (this.#states.size > MAXIMUM_SERVERS) this.#evict(now);
     return state;
   }
 
   #evict(now: number): void {
-    for (const [id, { seenAt }] of this.#runs) {
-      const isFull = this.#runs.size > MAXIMUM_SERVERS;
-      if (isFull || now - seenAt > EVIDENCE_LIFETIME) this.#runs.delete(id);
+    for (const [id, { seenAt }] of this.#states) {
+      const isFull = this.#states.size > MAXIMUM_SERVERS;
+      if (isFull || now - seenAt > EVIDENCE_LIFETIME) this.#states.delete(id);
     }
   }
 }
--- a/src/core/quarantine/crash_detector_test.ts
+++ b/src/core/quarantine/crash_detector_test.ts
@@ -11,75 +11,75 @@
   fingerprint: fingerprintOf("/").complete,
 };
 
-/** A crash watch with servers `s-1` to `s-3`. */
-function createWatch() {
+/** Creates a crash detector for servers `s-1` to `s-3`. */
+function createDetector() {
   const fleet = Fleet.create();
   fleet.apply(["s-1", "s-2", "s-3"].map((id) => backendServer(id)), [], 0);
   const quarantine = Quarantine.create();
-  const watch = CrashDetector.create(quarantine, () => {});
-  const crashes = () => quarantine.crashCountOf(REQUEST.fingerprint);
+  const detector = CrashDetector.create(quarantine, () => {});
+  const crashCount = () => quarantine.crashCountOf(REQUEST.fingerprint);
   const server = (id: string) => fleet.get(id)!;
-  return { fleet, watch, ends: crashes, server };
+  return { fleet, detector, crashCount, server };
 }
 
-test("crash watch: a broken connection counts as no crash while the server may be running", (t) => {
-  const { watch, ends, server } = createWatch();
-  watch.connectionBroke(server("s-1"), REQUEST, 0);
-  watch.probeSucceeded("s-1");
-  t.is(ends(), 0);
+test("crash detector: a broken connection counts as no crash while the server may be running", (t) => {
+  const { detector, crashCount, server } = createDetector();
+  detector.connectionBroke(server("s-1"), REQUEST, 0);
+  detector.probeSucceeded("s-1");
+  t.is(crashCount(), 0);
 });
 
-test("crash watch: a refused connection attributes a crash to requests that broke before and after", (t) => {
-  const { watch, ends, server } = createWatch();
-  watch.connectionBroke(server("s-1"), REQUEST, 0);
-  watch.ended(server("s-1"), 5);
-  t.is(ends(), 1);
-  watch.ended(server("s-2"), 10);
-  watch.connectionBroke(server("s-2"), REQUEST, 12);
-  t.is(ends(), 2);
+test("crash detector: a refused connection attributes a crash to requests that broke before and after", (t) => {
+  const { detector, crashCount, server } = createDetector();
+  detector.connectionBroke(server("s-1"), REQUEST, 0);
+  detector.ended(server("s-1"), 5);
+  t.is(crashCount(), 1);
+  detector.ended(server("s-2"), 10);
+  detector.connectionBroke(server("s-2"), REQUEST, 12);
+  t.is(crashCount(), 2);
 });
 
-test("crash watch: a removal from the registry attributes a crash to requests that broke recently", (t) => {
-  const { watch, ends, server, fleet } = createWatch();
-  watch.connectionBroke(server("s-1"), REQUEST, 0);
-  watch.connectionBroke(server("s-2"), REQUEST, 0);
-  watch.changed(fleet.apply([], ["s-1"], 4_000), 4_000);
-  t.is(ends(), 1);
-  watch.changed(fleet.apply([], ["s-2"], 9_000), 9_000);
-  t.is(ends(), 1);
+test("crash detector: a removal from the registry attributes a crash to requests that broke recently", (t) => {
+  const { detector, crashCount, server, fleet } = createDetector();
+  detector.connectionBroke(server("s-1"), REQUEST, 0);
+  detector.connectionBroke(server("s-2"), REQUEST, 0);
+  detector.changed(fleet.apply([], ["s-1"], 4_000), 4_000);
+  t.is(crashCount(), 1);
+  detector.changed(fleet.apply([], ["s-2"], 9_000), 9_000);
+  t.is(crashCount(), 1);
 });
 
-test("crash watch: a restart attributes a crash to requests of the previous incarnation", (t) => {
-  const { watch, ends, server, fleet } = createWatch();
-  watch.connectionBroke(server("s-1"), REQUEST, 0);
+test("crash detector: a restart attributes a crash to requests of the previous incarnation", (t) => {
+  const { detector, crashCount, server, fleet } = createDetector();
+  detector.connectionBroke(server("s-1"), REQUEST, 0);
   const next = backendServer("s-1", { incarnation: 2 });
-  watch.changed(fleet.apply([next], [], 500), 500);
-  t.is(ends(), 1);
-  watch.connectionBroke(server("s-1"), REQUEST, 1_000);
-  watch.ended(server("s-1"), 1_001);
-  t.is(ends(), 2);
+  detector.changed(fleet.apply([next], [], 500), 500);
+  t.is(crashCount(), 1);
+  detector.connectionBroke(server("s-1"), REQUEST, 1_000);
+  detector.ended(server("s-1"), 1_001);
+  t.is(crashCount(), 2);
 });
 
-test("crash watch: the end of a draining server is not a crash", (t) => {
-  const { watch, ends, server, fleet } = createWatch();
-  const leave = (id: string) =>
+test("crash detector: the exit of a draining server is not a crash", (t) => {
+  const { detector, crashCount, server, fleet } = createDetector();
+  const startDraining = (id: string) =>
     fleet.apply([backendServer(id, { isDraining: true })], [], 0);
-  watch.changed(leave("s-1"), 0);
-  watch.connectionBroke(server("s-1"), REQUEST, 10);
-  watch.ended(server("s-1"), 20);
-  watch.connectionBroke(server("s-2"), REQUEST, 10);
-  watch.changed(leave("s-2"), 20);
-  watch.changed(fleet.apply([], ["s-2"], 30), 30);
-  t.is(ends(), 0);
+  detector.changed(startDraining("s-1"), 0);
+  detector.connectionBroke(server("s-1"), REQUEST, 10);
+  detector.ended(server("s-1"), 20);
+  detector.connectionBroke(server("s-2"), REQUEST, 10);
+  detector.changed(startDraining("s-2"), 20);
+  detector.changed(fleet.apply([], ["s-2"], 30), 30);
+  t.is(crashCount(), 0);
 });
 
-test("crash watch: probes a server at once, then with exponential backoff while it responds", (t) => {
-  const { watch, server } = createWatch();
+test("crash detector: probes a server at once, then with exponential backoff while it responds", (t) => {
+  const { detector, server } = createDetector();
   const probeTimes: number[] = [];
-  for (let now = 0; now < 20_000; now += 100) {
-    if (watch.connectionBroke(server("s-1"), REQUEST, now) === null) continue;
-    probeTimes.push(now);
-    watch.probeSucceeded("s-1");
+  for (let at = 0; at < 20_000; at += 100) {
+    if (detector.connectionBroke(server("s-1"), REQUEST, at) === null) continue;
+    probeTimes.push(at);
+    detector.probeSucceeded("s-1");
   }
   t.deepEqual(probeTimes, [0, 2_000, 6_000, 14_000]);
 });
--- a/src/core/quarantine/crash_record.ts
+++ b/src/core/quarantine/crash_record.ts
@@ -1,10 +1,12 @@
 /**
- * Crash records: for one request, the runs of backend servers (a server's id and
- * incarnation) that crashed while they processed it.
+ * Crash records. The record of a request lists the server processes that crashed while
+ * they ran it. A server process is named by the server's id and incarnation, as in
+ * `server-1#2`; the name is called a run in the records.
  *
- * Replicas of a record merge to the same result in any order and any number of times,
- * as in a conflict-free replicated data type: a run counts once, however many VMs
- * observed its crash, and a run that was excused stays excused.
+ * Each VM stores its own copy of a record. Copies merge to the same result in any order
+ * and any number of times, as in a conflict-free replicated data type: a process counts
+ * once, however many VMs observed its crash, and a process that was excused (no longer
+ * counts against the request) stays excused.
  *
  * @module
  */
@@ -12,16 +14,18 @@
 
 /** Maximum length of a fingerprint, in characters. */
 const MAXIMUM_FINGERPRINT_LENGTH = 64;
-/** Maximum length of the name of a server's run, in characters. */
-const MAXIMUM_RUN_LENGTH = 300;
-/** Maximum number of runs in a record; further ones would not change a decision. */
-export const MAXIMUM_RUNS = 16;
+/** Maximum length of the name of a server process, in characters. */
+const MAXIMUM_NAME_LENGTH = 300;
+/** Maximum number of processes in each list of a record. More would not change whether
+ * the request is quarantined. */
+export const MAXIMUM_PROCESSES = 16;
 /** Maximum length of a record's target, in characters. */
 export const MAXIMUM_TARGET_LENGTH = 120;
 
-const runsSchema = z.array(z.string().max(MAXIMUM_RUN_LENGTH)).max(
-  MAXIMUM_RUNS,
-);
+const runsSchema = z.array(z.string().max(MAXIMUM_NAME_LENGTH))
+  .max(
+    MAXIMUM_PROCESSES,
+  );
 
 /** Schema of {@linkcode CrashRecord}. */
 export const crashRecordSchema = z.object({
@@ -29,84 +33,90 @@
   request: z.string().max(MAXIMUM_FINGERPRINT_LENGTH),
   /** Host and path, truncated; for operators. */
   target: z.string().max(MAXIMUM_TARGET_LENGTH),
-  /** How often the request was quarantined and released for a trial. */
+  /** Number of times that the request was released from a quarantine for a trial. */
   round: z.number().int().nonnegative(),
-  /** Runs of servers that crashed under it in this round. */
+  /** Server processes that crashed while they ran the request, since its last release. */
   runs: runsSchema,
-  /** Runs that crashed under it and no longer count, because the request was answered,
-   * another request explains the crash, or a trial began. */
+  /** Server processes whose crashes no longer count against the request, because it was
+   * answered, another request was quarantined for them, or a trial began. */
   excused: runsSchema,
-  /** Milliseconds since the last crash under it. */
+  /** Milliseconds since the last crash that was recorded for the request. */
   age: z.number().nonnegative(),
-  /** Whether the sender of the record has quarantined it. */
+  /** Whether the sender of the record has quarantined the request. */
   isHeld: z.boolean(),
 });
 
 /** A record as it is sent to other VMs. */
 export type CrashRecord = z.infer<typeof crashRecordSchema>;
 
-/** Number of crashes under a request at which it is quarantined. A harmless request may
- * run beside the harmful one on one or two servers. */
+/** Number of crashes at which a request is quarantined. Fewer are no proof: a harmless
+ * request may run beside the harmful one on one or two servers that crash. */
 const CRASH_LIMIT = 3;
-/** The same number for a request on trial after a quarantine. */
+/** Number of crashes at which a request on trial is quarantined again. */
 const TRIAL_CRASH_LIMIT = 1;
-/** Time in which an answer to a request that is near its limit reaches all VMs, in
- * milliseconds: a report to the term holder, which may be delayed by half a second, the
- * holder's message to all VMs, and an answer. */
-const ANSWER_PROPAGATION_TIME = 1_000;
-/** Time after an answer in which crashes do not count against a request, in
+/** Time in which all VMs learn that a request near its crash limit was answered, in
+ * milliseconds: for the response itself, the report to the term holder, which may be
+ * delayed by half a second, and the term holder's message to all VMs. */
+const RESPONSE_PROPAGATION_TIME = 1_000;
+/** Time after a response in which crashes do not count against its request, in
  * milliseconds; about the time that a registry takes to report a crash. */
-const ANSWER_LIFETIME = 5_000;
+const RESPONSE_LIFETIME = 5_000;
 /** Duration of a request's first quarantine, in milliseconds; doubles with each trial
- * that crashes a server again. It is also how long the request stays rejected after its
- * service was fixed. */
+ * that crashes a server again. For up to this time a request is also still refused after
+ * its service was fixed. */
 const INITIAL_QUARANTINE = 120_000;
+/** Maximum duration of a quarantine, in milliseconds. */
 const MAXIMUM_QUARANTINE = 3_600_000;
-/** Time for which a record of a request that is not quarantined is kept, in
- * milliseconds. Retries that are further apart crash a server each time. */
+/** Time for which the record of a request that is not quarantined is kept after its last
+ * crash, in milliseconds. A request whose retries are further apart is never quarantined
+ * and crashes a server each time. */
 const RECORD_LIFETIME = 600_000;
 
-/** A record as a VM stores it. Times are milliseconds of its clock. */
+/** A VM's copy of a {@linkcode CrashRecord}, with state of this VM. Times are
+ * milliseconds of its clock. */
 export interface RequestCrashes {
   request: string;
   target: string;
   round: number;
   runs: string[];
   excused: string[];
+  /** When the last crash was recorded. */
   lastAt: number;
   /** When a server last answered it, as observed by this VM. */
   answeredAt: number;
-  /** Since when it is at most one crash short of its limit; Infinity if it is not. */
+  /** Since when {@linkcode isNearLimit} is true; Infinity while it is false. */
   nearLimitSince: number;
-  /** Whether it is quarantined, which lasts until {@linkcode quarantinedUntil}. */
+  /** Whether the request is quarantined, which lasts until {@linkcode quarantinedUntil}. */
   isHeld: boolean;
-  /** Revision of the last change to it in this process. */
+  /** Revision of the quarantine at which this record last changed. */
   revision: number;
-  /** Address of the VM that sent exactly this state; null if no VM is known to have all
-   * of it. */
+  /** Address of the VM that sent exactly this state, to which it need not be sent back;
+   * null if there is none. */
   knownAt: string | null;
 }
 
-/** Whether a request has reached the number of crashes at which it is quarantined. */
+/** Whether a request has reached its crash limit: the number of crashes at which it is
+ * quarantined. */
 export function hasReachedLimit({ round, runs }: RequestCrashes): boolean {
   const limit = round === 0 ? CRASH_LIMIT : TRIAL_CRASH_LIMIT;
   return runs.length >= limit;
 }
 
-/** Whether a request is at most one crash short of that number. */
+/** Whether a request is near its crash limit: one more crash reaches it, or it is
+ * reached. A request on trial is near its limit only once it has reached it. */
 export function isNearLimit({ round, runs }: RequestCrashes): boolean {
   return runs.length >= (round === 0 ? CRASH_LIMIT - 1 : TRIAL_CRASH_LIMIT);
 }
 
-/** When a request that has reached its limit is quarantined, unless it is answered
- * before. A request that many callers send at once may be in progress on any server that
- * crashes, and other servers answer it in the meantime. By then all VMs know that its
- * answers count. */
+/** When a request that has reached its crash limit is quarantined, unless it is answered
+ * before. A harmless request that many callers send at once may be in progress on each
+ * server that crashes, while other servers answer it. The delay is long enough for all
+ * VMs to learn of such a response. */
 export function quarantinedFrom({ nearLimitSince }: RequestCrashes): number {
-  return nearLimitSince + ANSWER_PROPAGATION_TIME;
+  return nearLimitSince + RESPONSE_PROPAGATION_TIME;
 }
 
-/** Duration of a quarantine in a round, in milliseconds. */
+/** Duration of the quarantine after `round` trials, in milliseconds. */
 function quarantineDuration(round: number): number {
   return Math.min(MAXIMUM_QUARANTINE, INITIAL_QUARANTINE * 2 ** round);
 }
@@ -122,8 +132,8 @@
     (round === 0 ? 0 : quarantineDuration(round - 1));
 }
 
-/** Whether a record is replicated to all VMs: its request is quarantined, near its limit,
- * or was so before. An answer on any VM then clears it on all VMs. */
+/** Whether a record is replicated to all VMs: its request is or was quarantined or near
+ * its crash limit. A response that any VM receives then clears the request on all VMs. */
 export function isReplicated(
   { round, runs, excused }: RequestCrashes,
 ): boolean {
@@ -131,15 +141,16 @@
 }
 
 /** Whether a request was answered so recently that crashes do not count against it. A
- * request that many callers send is in progress on any server that crashes. */
+ * harmless request that many callers send may be in progress on each server that
+ * crashes. */
 export function isRecentlyAnswered(
   { answeredAt }: RequestCrashes,
   now: number,
 ): boolean {
-  return now - answeredAt <= ANSWER_LIFETIME;
+  return now - answeredAt <= RESPONSE_LIFETIME;
 }
 
-/** A record without crashes. */
+/** Creates a record without crashes. */
 export function newCrashes(
   request: string,
   target: string,
@@ -165,13 +176,14 @@
 export interface Hold {
   request: string;
   target: string;
-  /** Runs of servers that crashed under it. */
+  /** Server processes that crashed while they ran it. */
   runs: readonly string[];
   /** Milliseconds until it is released for a trial. */
   left: number;
 }
 
-/** Whether record `a` is evicted before record `b` if there are too many. */
+/** Whether record `a` is evicted before record `b` when there are too many records: those
+ * of quarantined requests go last, otherwise the one with the oldest crash goes first. */
 export function isEvictedBefore(a: RequestCrashes, b: RequestCrashes): boolean {
   if (a.isHeld !== b.isHeld) return b.isHeld;
   return a.lastAt < b.lastAt;
@@ -190,12 +202,12 @@
   return { request, target, round, runs, excused, age, isHeld };
 }
 
-/** The distinct names in both lists. */
+/** The distinct names that are in either list. */
 export function union(a: readonly string[], b: readonly string[]): string[] {
   return [...new Set([...a, ...b])];
 }
 
-/** Whether two lists contain the same names. */
+/** Whether two lists of distinct names contain the same names, in any order. */
 export function hasSameNames(
   a: readonly string[],
   b: readonly string[],
--- a/src/core/quarantine/fingerprint.ts
+++ b/src/core/quarantine/fingerprint.ts
@@ -1,8 +1,8 @@
 /**
- * Fingerprints that identify retries of a request by its method, host, path and body,
- * independent of the connection, VM and request id. The client's network address is not
- * part of it either: callers have clients in several availability zones, each with its
- * own address.
+ * Fingerprints that identify a request by its method, host, path, query and body. Retries
+ * of a request have the same fingerprint, whatever their connection, VM and request id.
+ * The network address of the client is not part of it either: callers have clients in
+ * several availability zones, each with its own address.
  *
  * Each part is a SHA-256 digest truncated to 96 bits, so that no caller can construct a
  * request with the fingerprint of another one. Digests are computed lazily: most
@@ -26,7 +26,7 @@
   body: Uint8Array;
 }
 
-/** See the module's comment. */
+/** Fingerprint of one request. */
 export class Fingerprint {
   #head: string | null = null;
   #complete: string | null = null;
@@ -38,14 +38,15 @@
     return new Fingerprint(parts);
   }
 
-  /** Digest of everything but the body. It is cheap to compute and is enough to
-   * distinguish most requests. */
+  /** Digest of method, host, path and query, without the body: cheap to compute, and
+   * enough to tell most requests apart. */
   get head(): string {
     const { method, host, target } = this.parts;
     return this.#head ??= digest([method, host, target].join(SEPARATOR));
   }
 
-  /** The complete fingerprint; begins with {@linkcode head}. */
+  /** Digest of the whole request: {@linkcode head}, followed by the digest of the body
+   * unless the body is empty. */
   get complete(): string {
     return this.#complete ??= this.#compute();
   }
@@ -56,9 +57,9 @@
   }
 }
 
-/** The head of a complete fingerprint. */
-export function headOf(whole: string): string {
-  return whole.slice(0, DIGEST_LENGTH);
+/** Returns the {@linkcode Fingerprint.head} of a complete fingerprint. */
+export function headOf(fingerprint: string): string {
+  return fingerprint.slice(0, DIGEST_LENGTH);
 }
 
 function digest(data: string | Uint8Array): string {
--- a/src/core/quarantine/fingerprint_test.ts
+++ b/src/core/quarantine/fingerprint_test.ts
@@ -9,11 +9,11 @@
   body: Buffer.from("body"),
 };
 
-const whole = (change: Partial<FingerprintParts> = {}) =>
+const completeFingerprint = (change: Partial<FingerprintParts> = {}) =>
   Fingerprint.create({ ...PARTS, ...change }).complete;
 
-test("fingerprint: is equal for equal requests and differs with any part", (t) => {
-  t.is(whole(), whole());
+test("fingerprint: is the same for equal requests and differs if any part differs", (t) => {
+  t.is(completeFingerprint(), completeFingerprint());
   const changes: Partial<FingerprintParts>[] = [
     { method: "PUT" },
     { host: "g.example" },
@@ -21,25 +21,28 @@
     { body: Buffer.from("bodz") },
     { body: Buffer.alloc(0) },
   ];
-  t.is(new Set([whole(), ...changes.map(whole)]).size, changes.length + 1);
+  t.is(
+    new Set([completeFingerprint(), ...changes.map(completeFingerprint)]).size,
+    changes.length + 1,
+  );
 });
 
-test("fingerprint: of a request without a body is its head", (t) => {
-  const { head, complete: whole } = Fingerprint.create({
+test("fingerprint: the complete fingerprint of a request without a body is its head", (t) => {
+  const { head, complete } = Fingerprint.create({
     ...PARTS,
     body: Buffer.alloc(0),
   });
-  t.is(whole, head);
+  t.is(complete, head);
 });
 
-test("fingerprint: begins with its head, whatever the body", (t) => {
+test("fingerprint: the complete fingerprint begins with the head for any body", (t) => {
   fc.assert(fc.property(fc.uint8Array({ maxLength: 200 }), (body) => {
     const fingerprint = Fingerprint.create({ ...PARTS, body });
     t.is(headOf(fingerprint.complete), fingerprint.head);
   }));
 });
 
-test("fingerprint: hashes a body at most once, and not for the head", (t) => {
+test("fingerprint: the body is hashed at most once, and not for the head", (t) => {
   let reads = 0;
   const parts = {
     ...PARTS,
--- a/src/core/quarantine/permit_issuer.ts
+++ b/src/core/quarantine/permit_issuer.ts
@@ -1,18 +1,19 @@
 /**
- * Issues the permits that limit a request under which a server crashed to one copy at a
- * time ({@linkcode RunPermits}).
+ * Issues the permits to run a request that has crashed a server. Only one copy of such a
+ * request may run at a time ({@linkcode RunPermits}).
  *
- * Permits are issued by the VM that was last announced as term holder, whether or not
- * its authority is still valid: a permit gives no order to a server, and during an
- * outage of the store no VM has authority for long. The permits of the previous issuer
- * are unknown, so a new issuer issues none until they have expired.
+ * Permits are issued by the VM that was last announced as term holder, even if its
+ * authority to give orders to servers has expired. That is safe because a permit is no
+ * such order, and necessary because no VM keeps this authority for long during an outage
+ * of the store. A new issuer does not know the permits of the previous one, so it issues
+ * none until they have expired.
  *
  * @module
  */
 import { MAXIMUM_PERMIT, type PermitAnswer } from "./run_permits.ts";
 
-/** Number of consecutive crashes under copies with a permit after which the next copy
- * waits until the permit has expired. By then all VMs know of the crashes and have
+/** Number of consecutive crashes of a request with permits after which no further permit
+ * is issued until the last one has expired. By then all VMs know of the crashes and have
  * quarantined the request if it causes them. */
 const MAXIMUM_CONSECUTIVE_CRASHES = 2;
 /** Maximum number of issued permits; limits memory. */
@@ -21,8 +22,9 @@
 interface IssuedPermit {
   /** Address of the VM that has the permit; null if it was released. */
   address: string | null;
+  /** When it expires. */
   until: number;
-  /** Number of consecutive crashes under copies with a permit. */
+  /** Number of consecutive copies with a permit that crashed a server. */
   crashes: number;
 }
 
@@ -30,35 +32,37 @@
 export class PermitIssuer {
   /** Permits by the request's complete fingerprint. */
   readonly #issued = new Map<string, IssuedPermit>();
-  #activeAt = Infinity;
+  /** Time from which permits are issued; Infinity while the issuer is inactive. */
+  #activeFrom = Infinity;
 
   private constructor() {}
 
-  /** An inactive issuer. */
+  /** Creates an inactive issuer. */
   static create(): PermitIssuer {
     return new PermitIssuer();
   }
 
-  /** Activates the issuer, once this VM is the announced term holder. */
+  /** Activates the issuer when this VM is announced as term holder. */
   begin(now: number): void {
     this.#issued.clear();
-    this.#activeAt = now + MAXIMUM_PERMIT;
+    this.#activeFrom = now + MAXIMUM_PERMIT;
   }
 
-  /** Deactivates the issuer, once another VM is the announced term holder. */
+  /** Deactivates the issuer when another VM is announced as term holder. */
   end(): void {
     this.#issued.clear();
-    this.#activeAt = Infinity;
+    this.#activeFrom = Infinity;
   }
 
-  /** Answers the VM at `address`, which requests a permit for `duration` milliseconds. */
+  /** Answers the VM at `address`, which requests a permit for `duration` milliseconds.
+   * `request` is the complete fingerprint. */
   issue(
     request: string,
     address: string,
     duration: number,
     now: number,
   ): PermitAnswer {
-    const activeIn = this.#activeAt - now;
+    const activeIn = this.#activeFrom - now;
     if (activeIn > 0) {
       return { isGranted: false, left: Math.min(activeIn, MAXIMUM_PERMIT) };
     }
@@ -76,11 +80,12 @@
     return { isGranted: true, left };
   }
 
-  /** Releases the permit of the VM at `address`; `hasEnded` if the server crashed. */
-  released(request: string, address: string, hasEnded: boolean): void {
+  /** Releases the permit of the VM at `address`. `hasCrashed` states whether the copy
+   * with the permit crashed a server. */
+  released(request: string, address: string, hasCrashed: boolean): void {
     const issued = this.#issued.get(request);
     if (issued?.address !== address) return;
-    if (!hasEnded) {
+    if (!hasCrashed) {
       this.#issued.delete(request);
       return;
     }
--- a/src/core/quarantine/quarantine.ts
+++ b/src/core/quarantine/quarantine.ts
@@ -1,17 +1,18 @@
 /**
- * The quarantine: rejects requests that repeatedly crash backend servers.
+ * The quarantine: refuses requests that repeatedly crash backend servers.
  *
  * A crash counts against each request that was in progress on the server, since any of
- * them may have caused it. A request that was in progress at the crashes of three runs
- * is quarantined: all VMs reject it immediately, whichever of them observed the crashes.
- * An answer to a request clears it, and so does the quarantine of another request that
- * explains all of its crashes. A quarantined request is released for a trial after some
- * time, so that it is not rejected forever after its service was fixed.
+ * them may have caused it. A request that was in progress on three server processes when
+ * they crashed is quarantined: all VMs refuse it immediately, whichever of them observed
+ * the crashes. A response to a request clears the request: its past crashes no longer
+ * count. When a request is quarantined, its crashes no longer count against the other
+ * requests. A quarantined request is released for a trial after some time, so that it
+ * is not refused forever after its service was fixed.
  *
  * ```ts
- * quarantine.accuse(fingerprint.whole, "h/path", "server-1#0", now);
+ * quarantine.recordCrash(fingerprint.complete, "h/path", "server-1#0", now);
  * if (quarantine.hold(fingerprint, now) !== null) refuse();
- * quarantine.clear(fingerprint, now); // it was answered
+ * quarantine.clear(fingerprint, now); // a server answered the request
  * ```
  *
  * @module
@@ -29,7 +30,7 @@
   isNearLimit,
   isRecentlyAnswered,
   isReplicated,
-  MAXIMUM_RUNS,
+  MAXIMUM_PROCESSES,
   newCrashes,
   quarantinedFrom,
   quarantinedUntil,
@@ -38,49 +39,53 @@
   union,
 } from "./crash_record.ts";
 
-/** Maximum number of records. The one with the oldest crash is evicted first, and those
- * of quarantined requests last. */
+/** Maximum number of records. {@linkcode isEvictedBefore} defines which one is evicted
+ * when there are more. */
 const MAXIMUM_RECORDS = 4_096;
-/** Minimum interval between two passes over all records, in milliseconds. */
+/** Minimum time between two checks of all records, in milliseconds. */
 const EXPIRY_INTERVAL = 100;
-/** Maximum number of records that are sent to other VMs. */
+/** Maximum number of records in a message to other VMs. */
 const MAXIMUM_SENT_RECORDS = 256;
 
-/** A change that is logged. */
+/** A change of a request's state, for the log. */
 export interface QuarantineChange {
+  /** Whether the request was quarantined (`held`), cleared by a response, or released for
+   * a trial (`tried`). */
   kind: "held" | "cleared" | "tried";
   crashes: RequestCrashes;
 }
 
 /** See the module's comment. Times are milliseconds. */
 export class Quarantine {
+  /** Records by the request's complete fingerprint. */
   readonly #records = new Map<string, RequestCrashes>();
-  /** Fingerprints by their heads, which distinguish most requests from recorded ones
-   * without hashing their bodies. */
+  /** Complete fingerprints of the records by their heads. A request whose head is not in
+   * it has no record, which is found out without hashing its body. */
   readonly #byHead = new Map<string, Set<string>>();
   #revision = 0;
   #ownRevision = 0;
-  #recordRevision = 0;
+  #persistentRevision = 0;
   #digest: number | null = 0;
   #expiredAt = -Infinity;
 
   private constructor(
-    private readonly changed: (change: QuarantineChange) => void,
+    private readonly reportChange: (change: QuarantineChange) => void,
   ) {}
 
-  /** Starts without records; passes changes for operators to `changed`. */
+  /** Starts without records; passes changes for the log to `reportChange`. */
   static create(
-    changed: (change: QuarantineChange) => void = () => {},
+    reportChange: (change: QuarantineChange) => void = () => {},
   ): Quarantine {
-    return new Quarantine(changed);
+    return new Quarantine(reportChange);
   }
 
-  /** Revision of the last change. */
+  /** Number of changes of records so far. */
   get revision(): number {
     return this.#revision;
   }
 
-  /** Revision of the last change that this VM observed itself and others may not know. */
+  /** {@linkcode revision} after the last change that this VM observed itself, rather than
+   * received from another VM. */
   get ownRevision(): number {
     return this.#ownRevision;
   }
@@ -90,30 +95,31 @@
     return this.#digest ??= digestOf(this.#replicated());
   }
 
-  /** Records that a run of a server crashed under a request; returns whether that was not
-   * known before. */
+  /** Records that a server process crashed while it ran a request, which is identified by
+   * its complete fingerprint. Returns whether this crash was not known before. */
   recordCrash(
     request: string,
     target: string,
-    run: string,
+    processName: string,
     now: number,
   ): boolean {
     const crashes = this.#records.get(request) ??
       this.#add(newCrashes(request, target, 0, now));
-    const isKnown = crashes.runs.includes(run) || crashes.excused.includes(run);
+    const isKnown = crashes.runs.includes(processName) ||
+      crashes.excused.includes(processName);
     if (isKnown) return false;
     this.#update(crashes, now, () => {
       crashes.lastAt = now;
       const list = isRecentlyAnswered(crashes, now)
         ? crashes.excused
         : crashes.runs;
-      list.push(run);
+      list.push(processName);
     });
     this.#ownRevision = this.#revision;
     return true;
   }
 
-  /** Number of crashes that count against a request; 0 for most. */
+  /** Number of crashes that count against a request. */
   crashCount(fingerprint: Fingerprint): number {
     return this.#find(fingerprint)?.runs.length ?? 0;
   }
@@ -128,7 +134,7 @@
     return this.#records.get(request)?.runs.length ?? 0;
   }
 
-  /** The quarantine of a request, or null if it may be sent. */
+  /** Describes the quarantine of a request; null if the request is not quarantined. */
   hold(fingerprint: Fingerprint, now: number): Hold | null {
     const crashes = this.#find(fingerprint);
     if (crashes === undefined || !hasReachedLimit(crashes)) return null;
@@ -136,7 +142,7 @@
     return crashes.isHeld ? holdOf(crashes, now) : null;
   }
 
-  /** Records that a server answered a request, which clears it. */
+  /** Records that a server answered a request, so that its past crashes no longer count. */
   clear(fingerprint: Fingerprint, now: number): void {
     const crashes = this.#find(fingerprint);
     if (crashes === undefined) return;
@@ -144,7 +150,7 @@
     if (crashes.runs.length === 0) return;
     this.#excuse(crashes, crashes.runs, now);
     this.#ownRevision = this.#revision;
-    this.changed({ kind: "cleared", crashes });
+    this.reportChange({ kind: "cleared", crashes });
   }
 
   /** All quarantined requests. */
@@ -153,13 +159,14 @@
       .map((crashes) => holdOf(crashes, now));
   }
 
-  /** Revision of the last change to what {@linkcode persistentRecords} returns. */
+  /** Increases when a request gets near its crash limit, is quarantined, or is no longer
+   * near its limit, which changes {@linkcode persistentRecords}. */
   get persistentRevision(): number {
-    return this.#recordRevision;
+    return this.#persistentRevision;
   }
 
-  /** Records of requests that are quarantined or near their limit. They are persisted,
-   * so that the crashes still count after all VMs have failed. */
+  /** Records of requests that are quarantined or near their crash limit. They are stored
+   * persistently, so that the crashes still count after a failure of all VMs. */
   persistentRecords(now: number): CrashRecord[] {
     return this.#replicated().filter((each) => each.isHeld || isNearLimit(each))
       .map((each) => toRecord(each, now));
@@ -172,8 +179,8 @@
     return count;
   }
 
-  /** Records that changed after a revision, newest first, except those that the VM at
-   * `address` is known to have. */
+  /** Records that changed after `revision`, newest first, except those whose current
+   * state the VM at `address` sent itself. At most {@linkcode MAXIMUM_SENT_RECORDS}. */
   changesSince(
     revision: number,
     now: number,
@@ -193,7 +200,8 @@
   }
 
   /** Replicated records and the newest records with a single crash, for a VM that has
-   * just started: it then runs none of these requests beside another copy. */
+   * just started. It then requests a permit for these requests, of which only one copy
+   * may run at a time. */
   startupRecords(now: number): CrashRecord[] {
     const replicated = this.#replicated();
     const others = [...this.#records.values()]
@@ -212,8 +220,8 @@
     for (const record of records) this.#merge(record, now, address);
   }
 
-  /** Quarantines requests, releases them for a trial and removes expired records, as far
-   * as they are due. */
+  /** Checks all records: quarantines requests that have reached their crash limit,
+   * releases quarantined requests for a trial, and removes expired records. */
   expire(now: number): void {
     if (now - this.#expiredAt < EXPIRY_INTERVAL) return;
     this.#expiredAt = now;
@@ -227,8 +235,8 @@
       this.#startTrial(crashes, now);
     } else if (!crashes.isHeld && now >= quarantinedFrom(crashes)) {
       crashes.isHeld = true;
-      this.#recordRevision += 1;
-      this.changed({ kind: "held", crashes });
+      this.#persistentRevision += 1;
+      this.reportChange({ kind: "held", crashes });
       this.#excuseOthers(crashes, now);
     }
   }
@@ -241,12 +249,12 @@
       this.#add(newCrashes(request, target, round, lastAt));
     const excused = union(crashes.excused, record.excused);
     const runs = union(crashes.runs, record.runs)
-      .filter((run) => !excused.includes(run));
-    const isNews = known === undefined || round > crashes.round ||
+      .filter((each) => !excused.includes(each));
+    const isChanged = known === undefined || round > crashes.round ||
       !hasSameNames(runs, crashes.runs) ||
       !hasSameNames(excused, crashes.excused);
     crashes.lastAt = Math.max(crashes.lastAt, lastAt);
-    if (!isNews) return;
+    if (!isChanged) return;
     this.#update(crashes, now, () => {
       crashes.round = Math.max(crashes.round, round);
       crashes.runs = runs;
@@ -259,7 +267,8 @@
       this.#excuse(crashes, crashes.runs, now);
       this.#ownRevision = this.#revision;
     }
-    // The sender has already waited for answers before it quarantined the request.
+    // The sender has already waited for responses before it quarantined the request, so
+    // it is quarantined here without a further delay.
     if (record.isHeld && hasReachedLimit(crashes)) {
       crashes.nearLimitSince = -Infinity;
     }
@@ -276,8 +285,8 @@
     const { request } = crashes;
     this.#records.set(request, crashes);
     const head = headOf(request);
-    const others = this.#byHead.get(head) ?? new Set();
-    this.#byHead.set(head, others.add(request));
+    const fingerprints = this.#byHead.get(head) ?? new Set();
+    this.#byHead.set(head, fingerprints.add(request));
     return crashes;
   }
 
@@ -285,10 +294,10 @@
     const wasReplicated = isReplicated(crashes);
     const wasNearLimit = isNearLimit(crashes);
     change();
-    if (wasNearLimit !== isNearLimit(crashes)) this.#recordRevision += 1;
+    if (wasNearLimit !== isNearLimit(crashes)) this.#persistentRevision += 1;
     crashes.knownAt = null;
-    crashes.runs = crashes.runs.slice(-MAXIMUM_RUNS);
-    crashes.excused = crashes.excused.slice(-MAXIMUM_RUNS);
+    crashes.runs = crashes.runs.slice(-MAXIMUM_PROCESSES);
+    crashes.excused = crashes.excused.slice(-MAXIMUM_PROCESSES);
     const since = Math.min(crashes.nearLimitSince, now);
     crashes.nearLimitSince = isNearLimit(crashes) ? since : Infinity;
     if (!hasReachedLimit(crashes)) crashes.isHeld = false;
@@ -298,22 +307,23 @@
     if (crashes.isHeld) this.#excuseOthers(crashes, now);
   }
 
-  /** Excuses other requests from crashes that a quarantined request explains. A request
-   * that has reached its own limit is not excused, since it may be the cause as well. */
+  /** Stops counting the crashes of a quarantined request against other requests. Requests
+   * that have reached their own crash limit are excepted, since they may be the cause as
+   * well. */
   #excuseOthers(quarantined: RequestCrashes, now: number): void {
     for (const crashes of this.#records.values()) {
       if (hasReachedLimit(crashes)) continue;
-      const explained = crashes.runs.filter((run) =>
-        quarantined.runs.includes(run)
+      const shared = crashes.runs.filter((each) =>
+        quarantined.runs.includes(each)
       );
-      if (explained.length > 0) this.#excuse(crashes, explained, now);
+      if (shared.length > 0) this.#excuse(crashes, shared, now);
     }
   }
 
   #excuse(crashes: RequestCrashes, runs: readonly string[], now: number): void {
     this.#update(crashes, now, () => {
       crashes.excused = union(crashes.excused, runs);
-      crashes.runs = crashes.runs.filter((run) => !runs.includes(run));
+      crashes.runs = crashes.runs.filter((each) => !runs.includes(each));
     });
   }
 
@@ -323,7 +333,7 @@
       crashes.excused = union(crashes.excused, crashes.runs);
       crashes.runs = [];
     });
-    this.changed({ kind: "tried", crashes });
+    this.reportChange({ kind: "tried", crashes });
   }
 
   #evict(): void {
@@ -339,9 +349,9 @@
     this.#records.delete(request);
     if (isReplicated(crashes)) this.#digest = null;
     const head = headOf(request);
-    const others = this.#byHead.get(head);
-    others?.delete(request);
-    if (others?.size === 0) this.#byHead.delete(head);
+    const fingerprints = this.#byHead.get(head);
+    fingerprints?.delete(request);
+    if (fingerprints?.size === 0) this.#byHead.delete(head);
   }
 
   #replicated(): RequestCrashes[] {
--- a/src/core/quarantine/quarantine_test.ts
+++ b/src/core/quarantine/quarantine_test.ts
@@ -11,7 +11,7 @@
 const MINUTE = 60_000;
 const HOUR = 60 * MINUTE;
 
-/** A quarantine in which servers crashed under the harmful request at time 0. */
+/** A quarantine in which the harmful request crashed `crashes` servers at time 0. */
 function quarantineAfter(crashes: number): Quarantine {
   const quarantine = Quarantine.create();
   for (let i = 0; i < crashes; i++) {
@@ -29,7 +29,7 @@
   t.true(isHeld(quarantineAfter(3), DELAY));
 });
 
-test("quarantine: a crash of a server's run counts once, whoever observed it", (t) => {
+test("quarantine: the crash of a server process counts once, however many VMs observe it", (t) => {
   const quarantine = quarantineAfter(2);
   t.false(quarantine.recordCrash(HARMFUL.complete, "h/harmful", "s-1#1", 10));
   t.false(isHeld(quarantine, DELAY));
@@ -37,7 +37,7 @@
   t.true(isHeld(quarantine, DELAY));
 });
 
-test("quarantine: an answer clears a request, also an answer on another VM", (t) => {
+test("quarantine: a response clears a request, also one that another VM received", (t) => {
   const quarantine = quarantineAfter(3);
   const other = Quarantine.create();
   other.merge(quarantine.replicatedRecords(10), 10);
@@ -50,7 +50,7 @@
   t.false(isHeld(quarantine, 40 + DELAY));
 });
 
-test("quarantine: crashes that a quarantined request explains do not count against others", (t) => {
+test("quarantine: the crashes of a quarantined request do not count against others", (t) => {
   const quarantine = quarantineAfter(2);
   for (const run of ["s-0#1", "s-1#1"]) {
     quarantine.recordCrash(HARMLESS.complete, "h/harmless", run, 0);
@@ -73,7 +73,7 @@
   t.false(isHeld(quarantine, at + 4 * MINUTE));
 });
 
-test("quarantine: the record of a request without crashes expires after its trial", (t) => {
+test("quarantine: the record of a request expires after a trial without crashes", (t) => {
   const quarantine = quarantineAfter(3);
   t.false(isHeld(quarantine, 2 * MINUTE));
   quarantine.expire(HOUR);
@@ -81,7 +81,7 @@
   t.is(quarantine.digest, 0);
 });
 
-test("quarantine: ends at the same time on a VM that receives the record late", (t) => {
+test("quarantine: it ends at the same time on a VM that receives the record late", (t) => {
   const late = Quarantine.create();
   late.merge(quarantineAfter(3).replicatedRecords(MINUTE), 5_000);
   t.true(isHeld(late, 5_000 + MINUTE - 1));
@@ -108,7 +108,7 @@
   t.is(quarantine.hold(fingerprintOf("/same", "other body"), DELAY), null);
 });
 
-/** What VMs may observe: crashes, answers, and messages between VMs. */
+/** Random sequences of events at three VMs: crashes, responses and messages. */
 const actions = fc.array(
   fc.oneof(
     fc.record({
@@ -126,7 +126,7 @@
   { maxLength: 30 },
 );
 
-test("quarantine: all VMs converge whatever the order of messages", (t) => {
+test("quarantine: the records of all VMs converge for any order of messages", (t) => {
   fc.assert(fc.property(actions, (list) => {
     const vms = [0, 1, 2].map(() => Quarantine.create());
     const all = (index: number, now: number): CrashRecord[] =>
@@ -138,6 +138,7 @@
       } else if (action.kind === "answer") vm.clear(HARMFUL, now);
       else vms[action.to].merge(all(action.vm, now), now);
     });
+    // Two rounds of messages from each VM to each other.
     for (let round = 0; round < 2; round++) {
       for (const to of [0, 1, 2]) {
         for (const from of [0, 1, 2]) vms[to].merge(all(from, 100), 100);
@@ -164,14 +165,15 @@
   quarantine.clear(HARMFUL, 10);
   quarantine.recordCrash(HARMFUL.complete, "h/harmful", "s-7#1", 2_000);
   t.is(quarantine.crashCount(HARMFUL), 0);
-  // Nor if another VM reports the crash; that VM learns of the answer in turn.
+  // The same applies to a crash that another VM reports. That VM then learns of the
+  // response from the merged records.
   const other = quarantineAfter(2);
   quarantine.merge(other.startupRecords(3_000), 3_000);
   t.is(quarantine.crashCount(HARMFUL), 0);
   other.merge(quarantine.startupRecords(3_010), 3_010);
   other.merge(quarantine.replicatedRecords(3_010), 3_010);
   t.is(other.crashCount(HARMFUL), 0);
-  // An answer that is too old does not clear the request of a new crash.
+  // Later than 5 s after the response, a crash counts again.
   quarantine.recordCrash(HARMFUL.complete, "h/harmful", "s-8#1", 9_000);
   t.is(quarantine.crashCount(HARMFUL), 1);
 });
--- a/src/core/quarantine/run_permits.ts
+++ b/src/core/quarantine/run_permits.ts
@@ -1,29 +1,32 @@
 /**
- * Limits a request under which a server crashed to one copy at a time in the whole
- * deployment.
+ * Permits to run a request that has crashed a server, so that all VMs together run one
+ * copy of it at a time.
  *
- * Callers send copies of a request through all VMs. While its key is unavailable the
- * copies are queued, and afterwards all of them are sent to the next server at once, so
- * each crash affects several copies, whatever number of crashes is tolerated. After the
- * first crash a copy therefore needs a permit, of which there is one at a time, until
- * the request has been answered on any VM. The term holder issues permits
- * ({@linkcode PermitIssuer}); this is the side of the requesting VM.
+ * Callers send copies of a request through all VMs. While the server of its key is
+ * unavailable, the copies are queued; afterwards all of them are sent to the next server
+ * at once. Each crash would therefore affect several copies, however low the crash limit
+ * of the quarantine is. So after the first crash each copy needs a permit, until some VM
+ * receives a response to the request. The term holder issues one permit for a request at
+ * a time ({@linkcode PermitIssuer}); this module requests permits and stores those of
+ * this VM.
  *
  * @module
  */
 import * as z from "zod";
 
 /** Maximum validity of a permit, in milliseconds. A copy that a server runs for longer
- * without a response may overlap with the next copy. */
+ * may still be running when the next copy gets a permit. */
 export const MAXIMUM_PERMIT = 2_000;
 /** Timeout of a permit request, in milliseconds. */
 const ANSWER_TIMEOUT = 250;
-/** Maximum time for which a denial applies, in milliseconds. The permit may be released
- * long before it expires; this limits how often a VM requests it again. */
+/** Maximum time for which a denial applies, in milliseconds, after which this VM requests
+ * the permit again. The permit of the other copy may be released long before it
+ * expires. */
 const MAXIMUM_DENIAL = 200;
 /** Time after a permit request timed out in which it is not repeated, in milliseconds. */
 const TIMEOUT_PAUSE = 500;
-/** Maximum number of permits that are kept; no further ones are requested. */
+/** Maximum number of requests whose permits are kept. No permits are requested for
+ * further ones. */
 const MAXIMUM_PERMITS = 1_024;
 
 /** Schema of {@linkcode PermitAnswer}. */
@@ -36,7 +39,7 @@
 /** The issuer's answer to a permit request. */
 export type PermitAnswer = z.infer<typeof permitAnswerSchema>;
 
-/** The connection of this VM to the issuer. */
+/** Sends permit requests and releases of this VM to the issuer. */
 export interface PermitChannel {
   /** Requests a permit for a request by its complete fingerprint. Returns the answer if
    * it is available at once, or null if it will be passed to
@@ -46,12 +49,12 @@
     duration: number,
     now: number,
   ): PermitAnswer | null;
-  /** Releases a permit before it expires; `hasEnded` if the server crashed under the
-   * copy. */
-  release(request: string, hasEnded: boolean): void;
+  /** Releases a permit before it expires. `hasCrashed` states whether the copy with the
+   * permit crashed a server. */
+  release(request: string, hasCrashed: boolean): void;
 }
 
-/** Whether a copy may run now. */
+/** Whether a copy of a request may run now. */
 export type Permission =
   | { kind: "granted" }
   /** A permit request is pending; it times out at `until`. */
@@ -59,10 +62,12 @@
   /** Another copy runs, or the issuer did not answer; `left` in milliseconds. */
   | { kind: "denied"; left: number };
 
+/** The permit of a copy, its permit request, or the denial of that request. */
 interface Permit {
   /** Request id that the caller assigned to the copy. */
   copy: string;
   state: Permission["kind"];
+  /** When the permit expires, the permit request times out or the denial ends. */
   until: number;
 }
 
@@ -78,8 +83,9 @@
     return new RunPermits(channel);
   }
 
-  /** Whether a copy, identified by its request id, may run for up to `duration`
-   * milliseconds; requests a permit if necessary. */
+  /** Whether a copy may run for up to `duration` milliseconds; requests a permit if
+   * necessary. `request` is the complete fingerprint, and `copy` is the request id of the
+   * copy. */
   check(
     request: string,
     copy: string,
@@ -95,7 +101,7 @@
     return { kind: "denied", left: until - now };
   }
 
-  /** Applies the issuer's answer. */
+  /** Applies the issuer's answer to a permit request. */
   applyAnswer(
     request: string,
     { isGranted, left }: PermitAnswer,
@@ -103,7 +109,7 @@
   ): void {
     const permit = this.#permits.get(request);
     if (permit?.state !== "asked") {
-      // The copy has ended in the meantime.
+      // The copy ended, or the permit request timed out, in the meantime.
       if (isGranted) this.channel.release(request, false);
       return;
     }
@@ -122,7 +128,7 @@
     if (isGranted) this.channel.release(request, false);
   }
 
-  /** Records that the server that ran a copy crashed, and releases the copy's permit. */
+  /** Records that a server crashed while it ran a copy, and releases the copy's permit. */
   serverEnded(request: string, copy: string): void {
     const permit = this.#permits.get(request);
     if (permit?.copy !== copy || permit.state !== "granted") return;
@@ -130,6 +136,8 @@
     this.channel.release(request, true);
   }
 
+  /** Returns the permit of a request if it has not expired, or null. A permit request
+   * that has timed out counts as denied for {@linkcode TIMEOUT_PAUSE}. */
   #current(request: string, now: number): Permit | null {
     const permit = this.#permits.get(request);
     if (permit === undefined) return null;
--- a/src/core/quarantine/run_permits_test.ts
+++ b/src/core/quarantine/run_permits_test.ts
@@ -4,7 +4,7 @@
 import { MAXIMUM_PERMIT, RunPermits } from "./run_permits.ts";
 
 const REQUEST = "fingerprint";
-/** When an issuer that is activated at 0 issues its first permit. */
+/** When an issuer that is activated at 0 can issue its first permit. */
 const ACTIVE_AT = MAXIMUM_PERMIT;
 
 function activeIssuer(): PermitIssuer {
@@ -18,7 +18,8 @@
   return RunPermits.create({
     requestPermit: (request, duration, now) =>
       issuer.issue(request, address, duration, now),
-    release: (request, hasEnded) => issuer.released(request, address, hasEnded),
+    release: (request, hasCrashed) =>
+      issuer.released(request, address, hasCrashed),
   });
 }
 
@@ -45,7 +46,7 @@
   t.is(a.check(REQUEST, "2", 800, ACTIVE_AT + 800).kind, "granted");
 });
 
-test("permit issuer: after two consecutive crashes the next copy waits", (t) => {
+test("permit issuer: after two consecutive crashes no permit is issued until the last one has expired", (t) => {
   const issuer = activeIssuer();
   const a = permitsAt("a", issuer);
   a.check(REQUEST, "1", 800, ACTIVE_AT);
@@ -69,22 +70,22 @@
 });
 
 test("run permits: a permit that is granted too late is released", (t) => {
-  const returned: string[] = [];
+  const released: string[] = [];
   const permits = RunPermits.create({
     requestPermit: () => null,
-    release: (request) => returned.push(request),
+    release: (request) => released.push(request),
   });
   t.is(permits.check(REQUEST, "1", 800, 0).kind, "asked");
   permits.ended(REQUEST, "1", false);
   permits.applyAnswer(REQUEST, { isGranted: true, left: 800 }, 10);
-  t.deepEqual(returned, [REQUEST]);
+  t.deepEqual(released, [REQUEST]);
 });
 
 test("run permits: one copy runs at a time for any sequence of events", (t) => {
   const step = fc.record({
     vm: fc.nat(3),
     after: fc.nat(600),
-    does: fc.constantFrom("check", "answered", "broken", "crashed"),
+    action: fc.constantFrom("check", "answered", "broken", "crashed"),
   });
   fc.assert(
     fc.property(fc.array(step, { maxLength: 60 }), (steps) => {
@@ -94,13 +95,13 @@
       const running = new Map<number, { copy: string; until: number }>();
       let now = ACTIVE_AT;
       let count = 0;
-      for (const { vm, after, does } of steps) {
+      for (const { vm, after, action } of steps) {
         now += after;
         for (const [each, { until }] of running) {
           if (now >= until) running.delete(each);
         }
         const own = running.get(vm);
-        if (does === "check" && own === undefined) {
+        if (action === "check" && own === undefined) {
           count += 1;
           const copy = `${count}`;
           const duration = 400;
@@ -108,10 +109,10 @@
             if (running.size > 0) return false;
             running.set(vm, { copy, until: now + duration });
           }
-        } else if (own !== undefined && does !== "check") {
-          if (does === "crashed") vms[vm].serverEnded(REQUEST, own.copy);
-          else vms[vm].ended(REQUEST, own.copy, does === "broken");
-          if (does !== "broken") running.delete(vm);
+        } else if (own !== undefined && action !== "check") {
+          if (action === "crashed") vms[vm].serverEnded(REQUEST, own.copy);
+          else vms[vm].ended(REQUEST, own.copy, action === "broken");
+          if (action !== "broken") running.delete(vm);
         }
       }
       return true;
--- a/src/core/rates/rate_share.ts
+++ b/src/core/rates/rate_share.ts
@@ -1,15 +1,15 @@
 /**
- * One VM's equal share of a rate that all VMs must not exceed together, without
- * coordination between them.
+ * Spaces the requests of one VM to a server, so that all VMs together stay within a rate
+ * without coordination.
  *
- * Each VM sends at the rate divided by the number of VMs. Its first request is delayed
- * by a random part of the interval, so that VMs that learn of a server at the same time
- * do not send to it at the same time.
+ * Each VM sends at an equal share of the rate: the rate divided by the number of VMs. Its
+ * first request is delayed by a random part of the interval, so that VMs that learn of a
+ * server at the same time do not send to it at the same time.
  *
  * @module
  */
 
-/** Maximum number of servers for which times are kept. */
+/** Maximum number of servers for which the time of the next request is kept. */
 const MAXIMUM_SERVERS = 1_024;
 
 /** See the module's comment. Times are milliseconds. */
@@ -19,15 +19,16 @@
 
   private constructor(private readonly draw: () => number) {}
 
-  /** A share without past requests; `draw` gives numbers in [0, 1). */
+  /** Starts without past requests; `draw` returns random numbers in [0, 1). */
   static create(draw: () => number): RateShare {
     return new RateShare(draw);
   }
 
-  /** Whether this VM may send a request to a server now, at one request per `interval`. */
+  /** Whether this VM may send a request to a server now, at one request per `interval`
+   * milliseconds. */
   maySend(server: string, interval: number, now: number): boolean {
     const known = this.#nextAt.get(server);
-    // An older time belongs to an earlier limit of the server.
+    // A time more than an interval ago stems from an earlier rate limit of the server.
     if (known !== undefined && now < known + interval) return now >= known;
     if (this.#nextAt.size >= MAXIMUM_SERVERS) this.#evictOldest();
     this.#nextAt.set(server, now + this.draw() * interval);
@@ -35,7 +36,7 @@
   }
 
   /** Records that a request was sent to a server. */
-  started(server: string, interval: number, now: number): void {
+  requestSent(server: string, interval: number, now: number): void {
     this.#nextAt.set(server, now + interval);
   }
 
--- a/src/core/rates/rate_tokens.ts
+++ b/src/core/rates/rate_tokens.ts
@@ -1,10 +1,10 @@
 /**
  * Keeps the requests of all VMs to a rate-limited server within its limit.
  *
- * Each request to such a server takes a token, which the term holder grants
+ * Each request to such a server uses a token that the term holder has granted
  * ({@linkcode TokenBuckets}). Fixed shares per VM would leave most of a low limit unused
- * when there are many VMs or their loads differ; a VM falls back to its share
- * ({@linkcode RateShare}) while the holder does not answer.
+ * when there are many VMs or their loads differ. A VM therefore uses a fixed share
+ * ({@linkcode RateShare}) only while the term holder does not answer.
  *
  * ```ts
  * switch (tokens.check(server, isUrgent, now).kind) {
@@ -24,23 +24,25 @@
 /** Time for which a VM uses its share after a token request timed out, in
  * milliseconds. */
 const SHARE_DURATION = 1_000;
-/** Time for which a granted token is valid, in milliseconds. The request that needed it
- * may have ended in the meantime. */
+/** Time for which a granted token is valid, in milliseconds. Another request may use it
+ * if the one that needed it has ended. */
 const TOKEN_LIFETIME = 1_000;
 /** Longest time for which a denial applies, in milliseconds, since the limit may change
  * in the meantime. */
 const MAXIMUM_DENIAL = 500;
-/** Number of VMs assumed to share a server while the actual number is unknown. */
+/** Number of VMs that are assumed to share a server while the actual number is unknown. */
 const ASSUMED_VM_COUNT = 64;
-/** Number of states at which expired ones are removed. */
+/** Number of servers from which on expired states are removed. */
 const MAXIMUM_SERVERS = 1_024;
 /** Milliseconds in a second. */
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** The connection of this VM to the term holder's token buckets. */
+/** Sends token requests of this VM to the term holder. */
 export interface TokenChannel {
-  /** Requests a token for a server. Returns the answer if it is available at once, or
-   * null if it will be passed to {@linkcode RateTokens.applyAnswer}. */
+  /** Requests a token for a server. Returns the answer if it is available at once, null
+   * if it will be passed to {@linkcode RateTokens.applyAnswer}, or "unreachable" if no
+   * token can be requested, for example without a known term holder. `isUrgent` permits
+   * the use of the reserved token. */
   requestToken(
     server: TrackedServer,
     isUrgent: boolean,
@@ -61,7 +63,7 @@
   | { kind: "asked"; until: number; isUrgent: boolean }
   | { kind: "granted"; until: number }
   | { kind: "denied"; until: number; isUrgent: boolean }
-  /** The holder did not answer; this VM uses its share. */
+  /** The term holder did not answer; this VM uses its share of the rate. */
   | { kind: "shared"; until: number };
 
 /** See the module's comment. Times are milliseconds of this VM's clock. */
@@ -72,28 +74,29 @@
 
   private constructor(
     private readonly channel: TokenChannel,
-    private readonly vms: () => number | null,
+    private readonly vmCount: () => number | null,
     draw: () => number,
   ) {
     this.#share = RateShare.create(draw);
   }
 
-  /** Starts without tokens. They are requested over `channel`; while the holder does not
-   * answer, the rate is divided among `vms` VMs. `draw` gives numbers in [0, 1). */
+  /** Starts without tokens. They are requested over `channel`; while the term holder does
+   * not answer, the rate is divided among `vmCount` VMs (null when unknown). `draw`
+   * returns random numbers in [0, 1). */
   static create(
     channel: TokenChannel,
-    vms: () => number | null,
+    vmCount: () => number | null,
     draw: () => number,
   ): RateTokens {
-    return new RateTokens(channel, vms, draw);
+    return new RateTokens(channel, vmCount, draw);
   }
 
-  /** Whether a server has a rate limit in force. */
+  /** Whether a server currently has a rate limit. */
   isLimited(server: TrackedServer, now: number): boolean {
     return server.rateLimit.current(now) !== null;
   }
 
-  /** Whether a request may be sent to a server now without a token request. */
+  /** Whether a request may be sent to a server now, without requesting a token first. */
   isReady(server: TrackedServer, now: number): boolean {
     const limit = server.rateLimit.current(now);
     if (limit === null) return true;
@@ -103,8 +106,9 @@
       this.#share.maySend(server.id, this.#interval(limit), now);
   }
 
-  /** Whether a server needs a token and none is held, requested or denied. The denial
-   * of a less urgent request does not count. */
+  /** Whether a token for a server should be requested: the server has a rate limit, and
+   * no token is granted, requested or denied. For an urgent request, the denial of a
+   * token for a less urgent one does not count. */
   mayRequest(server: TrackedServer, isUrgent: boolean, now: number): boolean {
     if (!this.isLimited(server, now)) return false;
     const state = this.#current(server.id, now);
@@ -112,14 +116,15 @@
     return state.kind === "none";
   }
 
-  /** Until when tokens for a server are denied; -Infinity if they are not. */
+  /** Time until which tokens for a server are denied; -Infinity if they are not. */
   deniedUntil(server: TrackedServer, now: number): number {
     if (!this.isLimited(server, now)) return -Infinity;
     const state = this.#current(server.id, now);
     return state.kind === "denied" ? state.until : -Infinity;
   }
 
-  /** Whether a request may be sent to a server now; requests a token if necessary. */
+  /** Whether a request may be sent to a server now; requests a token if necessary.
+   * `isUrgent` permits the use of the reserved token. */
   check(server: TrackedServer, isUrgent: boolean, now: number): Admission {
     const limit = server.rateLimit.current(now);
     if (limit === null) {
@@ -140,8 +145,8 @@
         return state;
       case "shared": {
         const interval = this.#interval(limit);
-        const mayTake = this.#share.maySend(server.id, interval, now);
-        return mayTake
+        const maySend = this.#share.maySend(server.id, interval, now);
+        return maySend
           ? { kind: "ready" }
           : { kind: "denied", until: state.until };
       }
@@ -155,7 +160,7 @@
     const state = this.#states.get(server.id);
     if (state?.kind === "granted") this.#states.delete(server.id);
     if (state?.kind !== "shared") return;
-    this.#share.started(server.id, this.#interval(limit), now);
+    this.#share.requestSent(server.id, this.#interval(limit), now);
   }
 
   /** Applies the term holder's answer to a token request. */
@@ -177,6 +182,8 @@
     );
   }
 
+  /** Returns the state of a server, in which expired tokens and denials no longer count
+   * and a token request that timed out has led to the use of the share. */
   #current(server: string, now: number): TokenState {
     const state = this.#states.get(server);
     if (state === undefined) return { kind: "none" };
@@ -202,9 +209,9 @@
     return this.check(server, isUrgent, now);
   }
 
-  /** Time between two requests of this VM at its share of a limit. */
+  /** Time between two requests of this VM at its share of a limit, in milliseconds. */
   #interval(requestsPerSecond: number): number {
-    return MILLISECONDS_PER_SECOND * (this.vms() ?? ASSUMED_VM_COUNT) /
+    return MILLISECONDS_PER_SECOND * (this.vmCount() ?? ASSUMED_VM_COUNT) /
       requestsPerSecond;
   }
 
--- a/src/core/rates/rate_tokens_test.ts
+++ b/src/core/rates/rate_tokens_test.ts
@@ -3,7 +3,7 @@
 import { Fleet, type TrackedServer } from "../fleet/index.ts";
 import { RateTokens, type TokenChannel } from "./rate_tokens.ts";
 
-/** A server with a limit of `requestsPerSecond` since time 0. */
+/** Creates a server with a limit of `requestsPerSecond` since time 0. */
 function limitedServer(requestsPerSecond: number): TrackedServer {
   const fleet = Fleet.create();
   fleet.apply([backendServer("s")], [], 0);
@@ -12,11 +12,14 @@
   return server;
 }
 
-function tokensWith(ask: TokenChannel["requestToken"], vms = 10): RateTokens {
-  return RateTokens.create({ requestToken: ask }, () => vms, () => 0.5);
+function tokensWith(
+  requestToken: TokenChannel["requestToken"],
+  vmCount = 10,
+): RateTokens {
+  return RateTokens.create({ requestToken }, () => vmCount, () => 0.5);
 }
 
-test("rate tokens: a server without a limit needs none", (t) => {
+test("rate tokens: a server without a limit needs no tokens", (t) => {
   const tokens = tokensWith(() => t.fail());
   const fleet = Fleet.create();
   fleet.apply([backendServer("s")], [], 0);
@@ -54,7 +57,7 @@
   });
   tokens.check(server, false, 199);
   t.deepEqual(requested, [false]);
-  // A token is reserved for the most urgent requests.
+  // The denial does not apply to urgent requests, for which a token is reserved.
   tokens.check(server, true, 199);
   t.deepEqual(requested, [false, true]);
 });
--- a/src/core/rates/token_bucket.ts
+++ b/src/core/rates/token_bucket.ts
@@ -1,22 +1,22 @@
 /**
- * Token buckets that limit the requests of all VMs to rate-limited servers. The term
- * holder maintains them.
+ * Token buckets that limit the rate of the requests that all VMs together send to each
+ * rate-limited server. The term holder maintains them.
  *
- * Implements the generic cell rate algorithm: a bucket is represented by its theoretical
- * arrival time, which is the time at which it is full again if no token is taken.
+ * Implements the generic cell rate algorithm: a bucket is represented by the time at
+ * which it is full again if no token is taken (its theoretical arrival time).
  *
  * @module
  */
 import * as z from "zod";
 
-/** Time for which unused tokens accumulate, in milliseconds. It absorbs random variation
- * of arrivals, which would otherwise cause both idle time and refusals. */
+/** Time for which unused tokens accumulate, in milliseconds. The burst absorbs random
+ * variation of arrivals, which would otherwise cause both idle time and refusals. */
 const BURST_TIME = 500;
 /** Minimum number of unreserved tokens in a full bucket. */
 const MINIMUM_BURST = 2;
 /** Number of additional tokens reserved for the most urgent requests. */
 const RESERVED_TOKENS = 1;
-/** Number of buckets at which full ones are removed. */
+/** Number of buckets from which on full ones are removed. */
 const MAXIMUM_BUCKETS = 1_024;
 /** Milliseconds in a second. */
 const MILLISECONDS_PER_SECOND = 1_000;
@@ -28,13 +28,15 @@
   left: z.number().nonnegative(),
 });
 
-/** The answer to a token request. */
+/** The term holder's answer to a token request. */
 export type TokenAnswer = z.infer<typeof tokenAnswerSchema>;
 
 /** See the module's comment. Times are milliseconds of this VM's clock. */
 export class TokenBuckets {
-  /** When a server's bucket is full again if no token is taken. */
+  /** Time at which a server's bucket is full again if no token is taken, by the server's
+   * id. */
   readonly #buckets = new Map<string, number>();
+  /** Time at which all buckets were empty; -Infinity if they started full. */
   #termStartedAt = -Infinity;
 
   private constructor() {}
@@ -44,14 +46,15 @@
     return new TokenBuckets();
   }
 
-  /** Resets the buckets once this VM holds the term. They start empty, since the tokens
-   * that the previous holder granted are unknown. */
+  /** Empties all buckets when this VM becomes the term holder, since the tokens that the
+   * previous term holder granted are unknown. */
   begin(now: number): void {
     this.#buckets.clear();
     this.#termStartedAt = now;
   }
 
-  /** Takes a token for a server with a limit of `requestsPerSecond`. */
+  /** Takes a token for a server with a limit of `requestsPerSecond`, if one is available.
+   * `isUrgent` permits the use of the reserved token. */
   take(
     server: string,
     requestsPerSecond: number,
@@ -70,7 +73,7 @@
     return { isGranted: true, left: 0 };
   }
 
-  /** When a server's bucket is full; it takes `refillTime` to fill an empty one. */
+  /** Time at which a server's bucket is full; an empty bucket takes `refillTime` to fill. */
   #fullAt(server: string, refillTime: number): number {
     return this.#buckets.get(server) ?? this.#termStartedAt + refillTime;
   }
