--- a/src/core/dispatch/cold_admission.ts
+++ b/src/core/dispatch/cold_admission.ts
@@ -1,11 +1,11 @@
 /**
  * Limits the rate of requests that all VMs together send to a cold server.
  *
- * A server that has just started is slow and terminates if it receives many requests in
- * a second. No VM knows what the others send, and a single request from each of 61 VMs
- * at the same time is already too many. So each VM sends at an equal share of the
- * configured rate, and delays its first request by a random part of the interval. A VM
- * that learns late of the server or of other VMs only sends less.
+ * A server that has just started is cold: it is slow, and it crashes if it receives many
+ * requests in a second. No VM knows how many requests the others send, and a single
+ * request from each of 61 VMs at the same time is already too many. So each VM sends at
+ * an equal share of the configured rate, and delays its first request by a random part of
+ * the interval. A VM that learns late of the server or of other VMs only sends less.
  *
  * @module
  */
@@ -13,9 +13,9 @@
 import type { TrackedServer } from "../fleet/index.ts";
 import { RateShare } from "../rates/index.ts";
 
-/** Number of VMs that are assumed to share a server while their number is unknown. It is
- * high, because too few requests are safer than too many. */
-const ASSUMED_VMS = 64;
+/** Number of VMs that are assumed to share a server while the actual number is unknown.
+ * It is high, because too few requests are safer than too many. */
+const ASSUMED_VM_COUNT = 64;
 
 /** See the module's comment. Times are milliseconds. */
 export class ColdAdmission {
@@ -25,14 +25,14 @@
     private readonly rateShare: RateShare,
   ) {}
 
-  /** Enforces the warm-up rates in `catalog`, divided among `vms` VMs; `draw` gives
-   * numbers in [0, 1). */
+  /** Enforces the warm-up rates in `catalog`, divided among `vmCount` VMs (null when
+   * unknown); `draw` returns random numbers in [0, 1). */
   static create(
     catalog: Catalog,
-    vms: () => number | null,
+    vmCount: () => number | null,
     draw: () => number,
   ): ColdAdmission {
-    return new ColdAdmission(catalog, vms, RateShare.create(draw));
+    return new ColdAdmission(catalog, vmCount, RateShare.create(draw));
   }
 
   /** Whether a server is still warming up. */
@@ -54,12 +54,14 @@
     else this.rateShare.requestSent(server.id, interval, now);
   }
 
-  /** Interval between requests of this VM to a server; null if it is not cold. */
+  /** Interval between requests of this VM to a server, in milliseconds; null if the
+   * server is not cold. */
   #interval(server: TrackedServer, now: number): number | null {
     const { warmUp } = this.catalog.service(server.entry.service) ?? {};
     if (warmUp === undefined || !server.isCold(now, warmUp.duration)) {
       return null;
     }
-    return 1_000 * (this.vmCount() ?? ASSUMED_VMS) / warmUp.requestsPerSecond;
+    return 1_000 * (this.vmCount() ?? ASSUMED_VM_COUNT) /
+      warmUp.requestsPerSecond;
   }
 }
--- a/src/core/dispatch/cold_admission_test.ts
+++ b/src/core/dispatch/cold_admission_test.ts
@@ -10,7 +10,7 @@
 const SERVICE = "orders";
 const RATE = 4.3;
 const WARM_UP = 3_000;
-/** Maximum requests in any second that operators permit for a cold server. */
+/** Maximum number of requests in any second that operators permit for a cold server. */
 const MAXIMUM_PER_SECOND = Math.floor(RATE * 1.5 + 8);
 
 function catalogWith(warmUp?: { duration: number; requestsPerSecond: number }) {
@@ -51,7 +51,8 @@
   rate: number;
 }
 
-/** Times at which VMs send to one cold server if each sends as many requests as it may. */
+/** Times at which VMs send to one cold server if each VM sends all requests that it may
+ * send, in milliseconds. */
 function sendTimes({ vms, seed, discoversAt, rate }: Scenario): number[] {
   const catalog = catalogWith({ duration: WARM_UP, requestsPerSecond: RATE });
   const draw = uniformFloat64(seed);
@@ -130,7 +131,7 @@
   }, { cold: false, later: true, warm: true, unlimited: true });
 });
 
-test("cold admission: the servers of a restored zone count as cold until they could have reported it", (t) => {
+test("cold admission: the servers of a restored zone count as cold for the duration of a warm-up", (t) => {
   const catalog = catalogWith({ duration: WARM_UP, requestsPerSecond: RATE });
   const admission = ColdAdmission.create(catalog, () => 61, () => 0.5);
   const fleet = fleetWith(0, 0);
@@ -144,7 +145,7 @@
   t.true(admission.maySend(server, 5_000 + WARM_UP));
 });
 
-test("cold admission: a server that refused connections counts as cold when it is back", (t) => {
+test("cold admission: a server that refused connections counts as cold when it accepts them again", (t) => {
   const catalog = catalogWith({ duration: WARM_UP, requestsPerSecond: RATE });
   const admission = ColdAdmission.create(catalog, () => 61, () => 0.5);
   const server = fleetWith(0, 0).get("s")!;
@@ -173,7 +174,7 @@
     chooseServer(SERVICE, [], now, {
       fleet,
       availabilityZone: fleet.get("s")!.entry.availabilityZone,
-      vms: 1,
+      vmCount: 1,
       cold,
       tokens: RateTokens.create(
         { requestToken: () => null },
--- a/src/core/dispatch/dispatch_context.ts
+++ b/src/core/dispatch/dispatch_context.ts
@@ -1,5 +1,6 @@
 /**
- * State and functions of the process that the dispatcher uses.
+ * Dependencies of the dispatcher: state of this VM that other modules maintain, and
+ * functions that the dispatcher calls.
  *
  * @module
  */
@@ -28,14 +29,15 @@
   tokens: RateTokens;
   availabilityZone: string;
   retryLimits: RetryLimits;
-  /** Time at which this process started, in milliseconds. */
+  /** Time at which this process started, in milliseconds of its clock. */
   startedAt(): number;
   /** Number of VMs, or null when unknown. */
   vms(): number | null;
-  /** Reports that a server refused a key that is assigned to it in `directory`. */
+  /** Called when a server refused a key that is assigned to it in `directory`, so that
+   * the assignment may be outdated. */
   keyRefused(): void;
-  /** Reports that the rate limit of a server has begun, changed or ended. */
+  /** Called when the rate limit of a server has begun, changed or ended. */
   rateLimitChanged(change: ServerRateLimitChange, now: number): void;
-  /** A number in [0, 1). */
+  /** Returns a random number in [0, 1). */
   draw(): number;
 }
--- a/src/core/dispatch/dispatch_effect.ts
+++ b/src/core/dispatch/dispatch_effect.ts
@@ -1,5 +1,5 @@
 /**
- * Side effects that the dispatcher requests, as data.
+ * Side effects that the dispatcher returns as data, for its caller to carry out.
  *
  * @module
  */
@@ -9,8 +9,11 @@
 /** Sends a request to a server; an `attempt.ended` event reports the outcome. */
 export interface AttemptStart {
   kind: "attempt.start";
+  /** Number of the attempt, unique in this process. */
   attempt: number;
+  /** Number of the request's exchange with its caller. */
   exchange: number;
+  /** Id of the server. */
   server: string;
   address: string;
   /** Milliseconds until the deadline. */
@@ -23,20 +26,22 @@
   attempt: number;
 }
 
-/** Passes the response of an attempt to the caller. */
+/** Passes the response that an attempt received to the caller. */
 export interface Delivery {
   kind: "request.deliver";
   exchange: number;
   attempt: number;
 }
 
-/** Sends an error response of plumloft to a caller. */
+/** Sends an error response that plumloft generated to a caller. */
 export interface Refusal {
   kind: "request.refuse";
   exchange: number;
+  /** HTTP status. */
   status: number;
   /** Milliseconds after which the caller may retry, or null. */
   retryAfter: number | null;
+  /** Reason that the caller receives. */
   reason: string;
 }
 
@@ -44,6 +49,7 @@
 export interface Note {
   kind: "note";
   level: "info" | "warn" | "error";
+  /** Name of the log line. */
   decision: string;
   detail: Record<string, string | number | boolean | null>;
 }
--- a/src/core/dispatch/dispatch_planner.ts
+++ b/src/core/dispatch/dispatch_planner.ts
@@ -1,6 +1,6 @@
 /**
- * Decides whether a request can be sent, and to which server: for a request with a key
- * the server that owns the key, otherwise the server with the lowest expected cost.
+ * Decides whether a request can be sent now, and to which server: a request with a key to
+ * the server that owns the key, others to the server with the lowest expected cost.
  *
  * @module
  */
@@ -15,26 +15,28 @@
  * milliseconds, while the keys are moved to other servers. */
 const DRAINING_KEY_GRACE = 700;
 
-/** The same for a server in an evacuated availability zone, in milliseconds. It is
- * longer because many keys move at the same time. All VMs learn of an evacuation within
- * 1 s, so the total stays within the 5 s that operators allow for an evacuation. */
+/** Time for which requests are still sent to a server in an evacuated availability zone
+ * for its keys, in milliseconds. It is longer than {@linkcode DRAINING_KEY_GRACE},
+ * because many keys move at the same time. All VMs learn of an evacuation within 1 s, so
+ * the total stays within the 5 s that operators allow for an evacuation. */
 const EVACUATED_KEY_GRACE = 3_200;
 
 /** Whether and where a request can be sent now. */
 export type DispatchPlan =
   | { kind: "server"; server: TrackedServer }
-  /** Refused because the key is overloaded: only `share` of its requests is accepted,
+  /** Refused because the key is overloaded: only `share` of its requests is admitted,
    * according to a limit that is `age` milliseconds old. */
   | { kind: "shed"; reason: string; share: number; age: number }
-  /** Refused for some time, because servers terminated while they processed it. */
+  /** Refused because the request is quarantined: servers crashed while they ran it. */
   | { kind: "quarantined"; hold: Hold }
-  /** Refused because waiting would not help: the request has terminated a server and
-   * another copy of it is running, all servers are leaving, or a rate limit is reached
+  /** Refused because waiting would not help: the request has crashed a server and another
+   * copy of it is running, all servers are leaving, or a rate limit is reached
    * (`isRateLimited`). */
-  | { kind: "reject"; reason: string; isRateLimited: boolean }
+  | { kind: "refuse"; reason: string; isRateLimited: boolean }
   /** Cannot be sent now, but may be later. */
   | {
     kind: "wait";
+    /** The condition that blocks the request. */
     reason: string;
     /** Whether the condition is expected to end soon. */
     isTransient: boolean;
@@ -47,7 +49,8 @@
 /** A plan to queue a request. */
 export type WaitPlan = DispatchPlan & { kind: "wait" };
 
-/** A wait of unknown duration, for example for capacity or for a lost server. */
+/** A wait of unknown duration, for example until a server has capacity or registers
+ * again. */
 function openEndedWait(reason: string): DispatchPlan {
   return {
     kind: "wait",
@@ -81,8 +84,8 @@
 }
 
 /** A refusal of a request for which waiting would not help. */
-function rejection(reason: string, isRateLimited = false): DispatchPlan {
-  return { kind: "reject", reason, isRateLimited };
+function refusal(reason: string, isRateLimited = false): DispatchPlan {
+  return { kind: "refuse", reason, isRateLimited };
 }
 
 /** See the module's comment. */
@@ -92,8 +95,7 @@
     private readonly rangeBackoff: RangeBackoff,
   ) {}
 
-  /** Creates a planner that sends no request for a key range in `rangeBackoff` before
-   * its delay has passed. */
+  /** Creates a planner that observes the delays of key ranges in `rangeBackoff`. */
   static create(
     context: DispatchContext,
     rangeBackoff: RangeBackoff,
@@ -118,12 +120,12 @@
       return this.#planKeyed(request, request.key, now);
     }
     const { cold, tokens } = this.context;
-    const vms = this.context.vms();
+    const vmCount = this.context.vms();
     const isUrgent = this.#isUrgent(request);
     const context = {
       fleet,
       availabilityZone,
-      vms,
+      vmCount,
       cold,
       tokens,
       isUrgent,
@@ -134,25 +136,25 @@
     const servers = fleet.serversOf(request.service);
     const usable = servers.filter((each) => !each.isLeaving);
     if (servers.length > 0 && usable.length === 0) {
-      return rejection("all servers of the service are leaving");
+      return refusal("all servers of the service are leaving");
     }
     const isTokenDenied = (server: TrackedServer) =>
       tokens.deniedUntil(server, now) >= request.waitEnd;
     if (usable.length > 0 && usable.every(isTokenDenied)) {
-      return rejection("all servers of the service limit their requests", true);
+      return refusal("all servers of the service limit their requests", true);
     }
     return openEndedWait("no server has room");
   }
 
-  /** Checks the permit of a request that terminated a server, since only one copy of it
+  /** Checks the permit of a request that has crashed a server, since only one copy of it
    * may run at a time. Returns null if the request may run. */
   #checkPermit(request: PendingRequest, now: number): DispatchPlan | null {
     const { quarantine, permits } = this.context;
     const { fingerprint, id } = request.arrival;
     if (quarantine.crashCount(fingerprint) === 0) return null;
-    const { complete: whole } = fingerprint;
+    const { complete } = fingerprint;
     const remaining = request.deadline - now;
-    const permission = permits.check(whole, id, remaining, now);
+    const permission = permits.check(complete, id, remaining, now);
     switch (permission.kind) {
       case "granted":
         return null;
@@ -161,7 +163,7 @@
       case "denied": {
         const reason = "a backend server has ended under this request, and " +
           "another copy of it runs";
-        return rejection(reason);
+        return refusal(reason);
       }
     }
   }
@@ -171,8 +173,8 @@
     return this.context.catalog.isMostUrgent(route, service);
   }
 
-  /** Share of the requests for a key that its server can accept. A load that the server
-   * has just reported to this VM takes precedence over the limit on the key. */
+  /** Share of the requests for a key that is admitted, from 0 to 1. A load that the
+   * server has just reported to this VM takes precedence over the limit on the key. */
   #admittedShare(
     service: string,
     key: number,
@@ -184,6 +186,7 @@
     return keyLimits.admittedShare(service, key, now);
   }
 
+  /** Decides whether a request with a key can be sent to the server that owns the key. */
   #planKeyed(request: PendingRequest, key: number, now: number): DispatchPlan {
     const { fleet, directory } = this.context;
     const range = directory.find(request.service, key);
@@ -222,7 +225,7 @@
     return this.#checkRateLimit(request, server, now);
   }
 
-  /** Sends a keyed request to its server if the server's rate limit permits. */
+  /** Plans to send a keyed request to its server if the server's rate limit permits. */
   #checkRateLimit(
     request: PendingRequest,
     server: TrackedServer,
@@ -239,7 +242,7 @@
         return transientWait(reason, admission.until);
       }
       case "denied":
-        return rejection("the key's server limits its requests", true);
+        return refusal("the key's server limits its requests", true);
     }
   }
 }
--- a/src/core/dispatch/dispatcher.ts
+++ b/src/core/dispatch/dispatcher.ts
@@ -1,7 +1,7 @@
 /**
  * Tracks each request from its arrival to its final response: sends it to a server,
  * queues it, retries it, hedges it or refuses it. `dispatch_planner.ts` selects the
- * server, and `outcome_review.ts` evaluates how an attempt ended.
+ * server, and `outcome_review.ts` evaluates how each attempt ended.
  *
  * @module
  */
@@ -37,8 +37,7 @@
 /** Reason given when a retry exceeds the retry budget. */
 const RETRY_BUDGET_EXHAUSTED = "the retry budget is used up";
 
-/** Reason given when a request is quarantined because servers terminated while they
- * processed it. */
+/** Reason given when a request is quarantined because servers crashed while they ran it. */
 const QUARANTINED = "backend servers have ended under this request";
 
 /** See the module's comment. */
@@ -64,7 +63,7 @@
     this.#retryAfterPolicy = RetryAfterPolicy.create(context);
     this.#log = RequestLog.create(
       () => context.catalog.version,
-      (...notes) => this.#effects.push(...notes),
+      (...lines) => this.#effects.push(...lines),
     );
     this.#responses = LocalResponses.create(
       context,
@@ -142,7 +141,7 @@
     }
   }
 
-  /** Cancels a request whose caller disconnected before the response. */
+  /** Cancels a request whose caller disconnected before it received a response. */
   callerDisconnected(exchange: number, now: number): DispatchEffect[] {
     const request = this.#requests.get(exchange);
     if (request === undefined) return [];
@@ -152,7 +151,7 @@
     return this.#takeEffects();
   }
 
-  /** Handles the end of an attempt. */
+  /** Handles the outcome of an attempt. */
   attemptEnded(
     number: number,
     outcome: AttemptOutcome,
@@ -249,8 +248,8 @@
     this.#queues.add(request);
   }
 
-  /** Sends a request; returns false if this is a retry and the retry budget is used up.
-   * All attempts are sent through this method, so none can bypass the budget. */
+  /** Sends a request to a server; returns false if this is a retry and the retry budget
+   * is used up. All attempts are sent by this method, so none can bypass the budget. */
   #send(request: PendingRequest, server: TrackedServer, now: number): boolean {
     if (request.sentCount > 0 && !this.#retryPolicy.withdraw(request, now)) {
       return false;
@@ -259,6 +258,7 @@
     return true;
   }
 
+  /** Starts an attempt at a server. */
   #start(request: PendingRequest, server: TrackedServer, now: number): void {
     this.#attemptCount += 1;
     const number = this.#attemptCount;
@@ -298,14 +298,14 @@
     });
   }
 
-  /** The known key range that contains the request's key, or null. */
+  /** The assigned range that contains the request's key, or null if there is none. */
   #assignedRange({ service, key }: PendingRequest): AssignedRange | null {
     if (key === null) return null;
     return this.context.directory.find(service, key) ?? null;
   }
 
-  /** Carries out the step after an attempt. While another attempt of the request is in
-   * flight, only a response ends the request. */
+  /** Carries out the step that follows an attempt. While another attempt of the request
+   * is in flight, only a response ends the request. */
   #applyStep(
     request: PendingRequest,
     attempt: Attempt,
@@ -340,6 +340,7 @@
     }
   }
 
+  /** Passes the response of an attempt to the caller and ends the request. */
   #deliver(
     request: PendingRequest,
     attempt: Attempt,
@@ -416,7 +417,7 @@
         return this.#shed(request, plan, now);
       case "quarantined":
         return this.#refuseQuarantined(request, plan, now);
-      case "reject":
+      case "refuse":
         request.isShed ||= plan.isRateLimited;
         return this.#refuseOrFail(request, plan.reason, now);
     }
@@ -438,7 +439,7 @@
     this.#refuseOrFail(request, reason, now);
   }
 
-  /** Ends a request that terminated servers, so that it cannot terminate another. */
+  /** Ends a quarantined request, so that it cannot crash another server. */
   #refuseQuarantined(
     request: PendingRequest,
     { hold }: DispatchPlan & { kind: "quarantined" },
@@ -518,6 +519,7 @@
     this.#queues.replace(service, stillQueued);
   }
 
+  /** Refuses a request that has not run. */
   #refuse(request: PendingRequest, reason: string, now: number): void {
     const refusal = this.#responses.refusal(request, reason, now);
     this.#finish(request, null);
@@ -540,7 +542,7 @@
   #finish(request: PendingRequest, deliveredAttempt: number | null): void {
     this.#requests.delete(request.arrival.exchange);
     this.#queues.remove(request);
-    this.#returnPermit(request, deliveredAttempt);
+    this.#releasePermit(request, deliveredAttempt);
     for (const { number, server } of request.attempts) {
       this.#byAttempt.delete(number);
       if (number === deliveredAttempt) continue;
@@ -549,17 +551,17 @@
     }
   }
 
-  /** Returns the permit of a request that had to run alone. Without a response, a copy
-   * that was sent may still be running. */
-  #returnPermit(
+  /** Releases the permit of a request that has crashed a server, unless the request was
+   * sent and has no response: it may then still be running. */
+  #releasePermit(
     { arrival, sentCount }: PendingRequest,
     deliveredAttempt: number | null,
   ): void {
     const { quarantine, permits } = this.context;
     if (!quarantine.hasRecord(arrival.fingerprint)) return;
-    const { complete: whole } = arrival.fingerprint;
+    const { complete } = arrival.fingerprint;
     const mayStillRun = deliveredAttempt === null && sentCount > 0;
-    permits.ended(whole, arrival.id, mayStillRun);
+    permits.ended(complete, arrival.id, mayStillRun);
   }
 
   /** Returns the collected effects and clears them. */
--- a/src/core/dispatch/dispatcher_test.ts
+++ b/src/core/dispatch/dispatcher_test.ts
@@ -17,7 +17,8 @@
 import { Dispatcher } from "./dispatcher.ts";
 import type { AttemptOutcome } from "./request.ts";
 
-/** Creates a dispatcher with one keyed and two other services, with two servers each. */
+/** Creates a dispatcher with a keyed service, `stock`, and two others, `orders` and
+ * `reads`, with two servers each. The keys are assigned to `stock-1`. */
 function createDispatcher(
   vms: number | null = 8,
   draw = () => 0,
@@ -163,7 +164,7 @@
 /** Delay before a request whose connection broke is sent again, in milliseconds. */
 const BROKEN_ATTEMPT_DELAY = 30;
 
-/** Summarizes effects, without log lines and server checks. */
+/** Summarizes effects, without log lines and server probes. */
 function summarize(effects: readonly DispatchEffect[]): string[] {
   return effects.flatMap((effect) => {
     switch (effect.kind) {
@@ -233,7 +234,7 @@
     );
     const sentAt: number[] = [];
     const attemptsByExchange = new Map<number, number>();
-    const answers: { attempt: number; at: number }[] = [];
+    const responses: { attempt: number; at: number }[] = [];
     const refusals: number[] = [];
     const record = (effects: readonly DispatchEffect[], now: number) => {
       for (const effect of effects) {
@@ -245,12 +246,12 @@
           exchange,
           (attemptsByExchange.get(exchange) ?? 0) + 1,
         );
-        answers.push({ attempt, at: now + 2 });
+        responses.push({ attempt, at: now + 2 });
       }
     };
     for (let now = 0; now < 2_200; now += 1) {
-      if (answers[0]?.at === now) {
-        const { attempt } = answers.shift()!;
+      if (responses[0]?.at === now) {
+        const { attempt } = responses.shift()!;
         record(dispatcher.attemptEnded(attempt, outcome, now), now);
       }
       if (now < 2_000 && now % 10 === 0) record(arrive("/lookup/", now), now);
@@ -261,7 +262,7 @@
     t.true(Math.max(...attemptsByExchange.values()) <= 3);
     t.is(dispatcher.pending, 0);
     t.deepEqual([...new Set(refusals)], [503]);
-    t.is(keyRefusals, sentAt.length, "the term holder is asked");
+    t.is(keyRefusals, sentAt.length, "each refusal of the key is reported");
   });
 }
 
@@ -301,7 +302,7 @@
   t.is(sent, 3);
 });
 
-test("dispatch: a retry after a broken connection waits for the check of the server", (t) => {
+test("dispatch: a retry after a broken connection waits for the probe of the server", (t) => {
   const { dispatcher, arrive } = createDispatcher();
   arrive("/lookup/", 0);
   t.deepEqual(summarize(dispatcher.attemptEnded(1, LOST, 10)), []);
@@ -312,7 +313,7 @@
 });
 
 for (const path of ["/order/", "/read/", "/lookup/"]) {
-  test(`dispatch: one copy at a time runs of a request that terminated a server: ${path}`, (t) => {
+  test(`dispatch: only one copy at a time runs of a request that has crashed a server: ${path}`, (t) => {
     let answer: PermitAnswer | null = { isGranted: true, left: 2_000 };
     const { arrive, quarantine } = createDispatcher(
       8,
@@ -322,7 +323,7 @@
     );
     quarantine.recordCrash(fingerprintOf(path).complete, path, "s#1", 0);
     t.is(arrive(path, 10)[0].kind, "attempt.start");
-    // A second copy at this VM, and a copy whose permit is denied.
+    // A second copy at this VM is refused, and so is a copy whose permit is denied.
     t.regex(summarize(arrive(path, 20))[0], /^503, .* another copy of it runs/);
     answer = { isGranted: false, left: 500 };
     const other = createDispatcher(8, () => 0, () => {}, () => answer);
@@ -336,7 +337,7 @@
 
 test("dispatch: servers in an evacuated zone receive no requests, and callers are refused immediately", (t) => {
   const { arrive, fleet, servers } = createDispatcher();
-  const other = { ...servers[4], availabilityZone: "left" };
+  const other = { ...servers[4], availabilityZone: "not-evacuated" };
   fleet.apply([other], [], 0);
   const zone = servers[5].availabilityZone;
   fleet.applyEvacuations({ evacuated: [zone], restored: [] }, 0);
@@ -361,7 +362,7 @@
   t.false(late.some(({ kind }) => kind === "attempt.start"));
 });
 
-test("dispatch: a request without a response to its permit request is refused after a short wait", (t) => {
+test("dispatch: a request whose permit request is not answered is refused after a short wait", (t) => {
   const { dispatcher, arrive, quarantine } = createDispatcher(
     8,
     () => 0,
@@ -370,13 +371,13 @@
   );
   quarantine.recordCrash(fingerprintOf("/read/").complete, "/read/", "s#1", 0);
   t.deepEqual(summarize(arrive("/read/", 0)), []);
-  let answers: string[] = [];
+  let refusals: string[] = [];
   let now = 0;
-  for (let look = 0; look < 10 && answers.length === 0; look++) {
+  for (let step = 0; step < 10 && refusals.length === 0; step++) {
     now = dispatcher.nextAt();
-    answers = summarize(dispatcher.advance(now));
+    refusals = summarize(dispatcher.advance(now));
   }
-  t.regex(answers[0], /^503, /);
+  t.regex(refusals[0], /^503, /);
   t.is(now, 250);
   t.is(dispatcher.pending, 0);
 });
@@ -456,14 +457,14 @@
           record(dispatcher.attemptEnded(attempt, outcomes[name], now), now);
         }
       }
-      const seen = new Set<number>();
+      const sent = new Set<number>();
       const retries: { at: number; service: string }[] = [];
       for (const { at, exchange } of starts.values()) {
         const { service } = requests[exchange - 1];
-        if (seen.has(exchange)) retries.push({ at, service });
-        seen.add(exchange);
+        if (sent.has(exchange)) retries.push({ at, service });
+        sent.add(exchange);
       }
-      const within = (
+      const countInWindow = (
         list: { at: number; service: string }[],
         end: { at: number; service: string },
       ) =>
@@ -472,15 +473,15 @@
           each.at <= end.at
         ).length;
       for (const each of retries) {
-        const taken = within(retries, each);
-        const allowed = 0.2 * within(requests, each) + 50 / 8;
-        most = Math.max(most, taken);
-        if (taken > allowed) throw new Error(`${taken} of ${allowed}`);
+        const used = countInWindow(retries, each);
+        const allowed = 0.2 * countInWindow(requests, each) + 50 / 8;
+        most = Math.max(most, used);
+        if (used > allowed) throw new Error(`${used} of ${allowed}`);
       }
     }),
     { numRuns: 100, seed: 5 },
   );
-  // Ensures that the property was not satisfied merely for lack of retries.
+  // The property must not be satisfied merely for lack of retries.
   t.true(most > 10, `${most}`);
 });
 
@@ -653,8 +654,8 @@
   ]);
 });
 
-/** Records that a request terminated three servers, which quarantines it from 1,000 ms
- * on. */
+/** Records at time 0 that a request crashed three servers, which quarantines it from
+ * 1,000 ms on. */
 function quarantineRequest(quarantine: Quarantine, path: string): void {
   for (const run of ["a#1", "b#1", "c#1"]) {
     quarantine.recordCrash(fingerprintOf(path).complete, path, run, 0);
@@ -662,10 +663,10 @@
 }
 
 for (const path of ["/order/", "/read/", "/lookup/"]) {
-  test(`dispatch: a quarantined request is refused immediately, and no other one: ${path}`, (t) => {
+  test(`dispatch: a quarantined request is refused immediately, other requests are not: ${path}`, (t) => {
     const { arrive, quarantine } = createDispatcher();
-    quarantineRequest(quarantine, `${path}ends`);
-    t.deepEqual(summarize(arrive(`${path}ends`, 1_000)), [
+    quarantineRequest(quarantine, `${path}harmful`);
+    t.deepEqual(summarize(arrive(`${path}harmful`, 1_000)), [
       "429, backend servers have ended under this request, come back 119000",
     ]);
     t.is(summarize(arrive(`${path}other`, 1_000)).length, 1);
@@ -675,50 +676,50 @@
 test("dispatch: a waiting request is refused once it is quarantined", (t) => {
   const { dispatcher, arrive, quarantine } = createDispatcher();
   for (let i = 0; i < 8; i++) arrive("/order/", 990);
-  t.deepEqual(summarize(arrive("/order/ends", 995)), []);
-  quarantineRequest(quarantine, "/order/ends");
+  t.deepEqual(summarize(arrive("/order/harmful", 995)), []);
+  quarantineRequest(quarantine, "/order/harmful");
   const [refusal] = summarize(dispatcher.advance(1_005));
   t.regex(refusal ?? "", /^429/);
 });
 
 test("dispatch: a quarantined request that may have run fails with 502", (t) => {
   const { dispatcher, arrive, quarantine } = createDispatcher();
-  arrive("/read/ends", 990);
-  quarantineRequest(quarantine, "/read/ends");
+  arrive("/read/harmful", 990);
+  quarantineRequest(quarantine, "/read/harmful");
   t.deepEqual(summarize(dispatcher.attemptEnded(1, LOST, 1_000)), [
     "502, reset, come back null",
   ]);
 });
 
-test("dispatch: a request that terminated two servers is not retried", (t) => {
+test("dispatch: a request that has crashed two servers is not retried", (t) => {
   const { dispatcher, arrive, quarantine } = createDispatcher();
   for (const run of ["a#1", "b#1"]) {
-    quarantine.recordCrash(fingerprintOf("/read/ends").complete, "", run, 0);
+    quarantine.recordCrash(fingerprintOf("/read/harmful").complete, "", run, 0);
   }
-  arrive("/read/ends", 1_000);
+  arrive("/read/harmful", 1_000);
   t.deepEqual(summarize(dispatcher.attemptEnded(1, LOST, 1_010)), [
     "502, reset, come back null",
   ]);
 });
 
-test("dispatch: a response below 500 clears the record of a request, a server error does not", (t) => {
-  for (const [status, ends] of [[200, 0], [404, 0], [500, 1], [504, 1]]) {
+test("dispatch: a response with a status below 500 clears the crashes of a request, a server error does not", (t) => {
+  for (const [status, crashCount] of [[200, 0], [404, 0], [500, 1], [504, 1]]) {
     const { dispatcher, arrive, quarantine } = createDispatcher();
     quarantine.recordCrash(fingerprintOf("/order/x").complete, "", "a#1", 0);
     arrive("/order/x", 10);
     dispatcher.attemptEnded(1, { ...ANSWERED, status }, 20);
-    t.is(quarantine.crashCount(fingerprintOf("/order/x")), ends);
+    t.is(quarantine.crashCount(fingerprintOf("/order/x")), crashCount);
   }
 });
 
-test("dispatch: a server is checked after a broken attempt, but not after a refused one", (t) => {
-  const countChecks = (outcome: AttemptOutcome) => {
+test("dispatch: a server is probed after a broken attempt, but not after a refused one", (t) => {
+  const countProbes = (outcome: AttemptOutcome) => {
     const { dispatcher, arrive } = createDispatcher();
     arrive("/order/", 0);
     return dispatcher.attemptEnded(1, outcome, 10)
       .filter(({ kind }) => kind === "server.check").length;
   };
-  t.deepEqual([LOST, SPOILT, NOT_SENT, NOT_RUN, ANSWERED].map(countChecks), [
+  t.deepEqual([LOST, SPOILT, NOT_SENT, NOT_RUN, ANSWERED].map(countProbes), [
     1,
     1,
     0,
--- a/src/core/dispatch/local_responses.ts
+++ b/src/core/dispatch/local_responses.ts
@@ -23,7 +23,8 @@
     private readonly retryAfterPolicy: RetryAfterPolicy,
   ) {}
 
-  /** Writes to `log` and takes retry delays from `retryAfterPolicy`. */
+  /** Creates responses that are written to `log` and have retry delays from
+   * `retryAfterPolicy`. */
   static create(
     context: DispatchContext,
     log: RequestLog,
@@ -51,8 +52,8 @@
   }
 
   /** Refuses a request that has not run and is quarantined for `left` more milliseconds.
-   * The status is not 503, which describes the service as temporarily unavailable and
-   * not the request as the cause; many callers would retry at once. */
+   * The status is 429. A 503 would describe the service as temporarily unavailable rather
+   * than the request as the cause, and many callers would retry immediately. */
   quarantineRefusal(
     request: PendingRequest,
     reason: string,
@@ -87,7 +88,8 @@
     };
   }
 
-  /** Refuses a request while this VM is stopping; another VM can accept it at once. */
+  /** Refuses a request while this VM is stopping. The retry delay is short, since another
+   * VM can accept the request immediately. */
   shutdownRefusal(
     { exchange, id, host, target }: RequestArrival,
   ): DispatchEffect[] {
--- a/src/core/dispatch/outcome_review.ts
+++ b/src/core/dispatch/outcome_review.ts
@@ -3,8 +3,8 @@
  * and the request, and decides whether the request is retried or ends.
  *
  * Once a byte of a request may have reached a server, the request counts as not run only
- * if that server says so. Otherwise it may have run, and a non-idempotent request is
- * then never retried.
+ * if that server reports so. Otherwise it may have run, and a non-idempotent request that
+ * may have run is never retried.
  *
  * @module
  */
@@ -15,12 +15,12 @@
 import type { Attempt, AttemptOutcome, PendingRequest } from "./request.ts";
 import type { RequestLog } from "./request_log.ts";
 
-/** Delay before a request is sent again to its key's server, which did not run it, in
- * milliseconds; doubles with each consecutive refusal. */
+/** Delay before a request is sent again to the server of its key after that server did not
+ * run it, in milliseconds; doubles with each consecutive time. */
 const KEY_REFUSAL_DELAY = 30;
 /** Delay before a request whose connection broke is sent again, in milliseconds. It
- * covers the check of the server's address, which shows whether the server terminated,
- * and is longer than the time for which an overloaded server resets connections. */
+ * covers the probe of the server's address, which shows whether the server crashed, and
+ * is longer than the time for which an overloaded server resets connections. */
 const BROKEN_ATTEMPT_DELAY = 30;
 
 /** Outcome of an attempt to which a server responded. */
@@ -51,7 +51,7 @@
   ) {}
 
   /** Creates a review that records refused key ranges in `rangeBackoff`, writes to `log`
-   * and passes server checks to `emit`. */
+   * and passes server probes to `emit`. */
   static create(
     context: DispatchContext,
     rangeBackoff: RangeBackoff,
@@ -93,8 +93,8 @@
     if (attempt.range !== null) this.rangeBackoff.served(attempt.range);
     const deliver: NextStep = { kind: "deliver", status };
     if (status < 500) {
-      // A status of 500 or above does not clear the request: the server may have failed
-      // before it processed the request.
+      // A status of 500 or above does not clear the crashes of the request: the server may
+      // have failed before it ran the request.
       this.context.quarantine.clear(request.arrival.fingerprint, now);
       server?.answered(attempt.number, now, load);
       return deliver;
@@ -124,7 +124,7 @@
     }
   }
 
-  /** Handles a response that states that the request was not run. */
+  /** Handles a response that reports that the request was not run. */
   #handleRefusal(
     request: PendingRequest,
     attempt: Attempt,
@@ -135,7 +135,7 @@
     const isAnotherServer = respondingServer !== null &&
       respondingServer !== attempt.server;
     if (isAnotherServer) {
-      this.#recordServerEnd(server, attempt, now);
+      this.#recordExit(server, attempt, now);
       server?.failed(attempt.number, now);
       this.#recordKeyRefusal(request, attempt, now);
     } else if (status === 421) {
@@ -153,8 +153,8 @@
     return { kind: "retry", detail: null, fallback };
   }
 
-  /** Records that an attempt ended without a valid response, and has the server's address
-   * checked if necessary: the server may have terminated while it ran the request. */
+  /** Records that an attempt ended without a valid response, and emits a probe of the
+   * server's address if necessary: the server may have crashed while it ran the request. */
   #recordBrokenAttempt(
     { arrival }: PendingRequest,
     attempt: Attempt,
@@ -169,13 +169,13 @@
       target: `${host}${arrival.target}`,
       fingerprint: fingerprint.complete,
     };
-    const check = crashes.connectionBroke(server, request, now);
-    if (check !== null) this.emit(check);
+    const probe = crashes.connectionBroke(server, request, now);
+    if (probe !== null) this.emit(probe);
   }
 
-  /** Records that a server has terminated: its address refuses connections or belongs to
-   * another incarnation. */
-  #recordServerEnd(
+  /** Records that a server process has exited: its address refuses connections, or
+   * another process responds there. */
+  #recordExit(
     server: TrackedServer | undefined,
     attempt: Attempt,
     now: number,
@@ -183,7 +183,7 @@
     if (server?.has(attempt.number)) this.context.crashes.ended(server, now);
   }
 
-  /** Records that the server does not own the key or has terminated. The key assignment
+  /** Records that the server does not own the key or has exited, so that the assignment
    * known to this VM may be outdated. */
   #recordKeyRefusal(
     request: PendingRequest,
@@ -202,19 +202,19 @@
   #handleFailure(
     request: PendingRequest,
     attempt: Attempt,
-    { mayHaveBeenSent: wasSent, isConnectionRefused: isRefused, cause }:
+    { mayHaveBeenSent, isConnectionRefused, cause }:
       & AttemptOutcome
       & { kind: "failed" },
     now: number,
   ): NextStep {
     const server = this.context.fleet.get(attempt.server);
-    if (wasSent) this.#recordBrokenAttempt(request, attempt, now);
-    else if (isRefused) {
-      this.#recordServerEnd(server, attempt, now);
+    if (mayHaveBeenSent) this.#recordBrokenAttempt(request, attempt, now);
+    else if (isConnectionRefused) {
+      this.#recordExit(server, attempt, now);
       if (server?.has(attempt.number)) server.connectionRefused();
     }
     server?.failed(attempt.number, now);
-    if (wasSent) return retryOrFail(request, attempt, cause, now);
+    if (mayHaveBeenSent) return retryOrFail(request, attempt, cause, now);
     const detail = { server: attempt.server, cause };
     this.log.write("info", "attempt.not_sent", request, now, detail);
     // Nothing reached a server, so the next attempt is not a retry of this one.
@@ -229,8 +229,8 @@
   }
 }
 
-/** Handles a lost response: the request may have run, so it is retried only if it is
- * idempotent. */
+/** Handles an attempt without a valid response: the request may have run, so it is
+ * retried only if it is idempotent. */
 function retryOrFail(
   request: PendingRequest,
   { server }: Attempt,
@@ -247,8 +247,8 @@
     : fail;
 }
 
-/** Permits another attempt at the key's server, which did not run the request, after a
- * delay. No other server can run it. */
+/** Permits another attempt at the server of the request's key after a delay, since that
+ * server did not run the request and no other one can. */
 function delayKeyRetry(
   request: PendingRequest,
   { server }: Attempt,
--- a/src/core/dispatch/request.ts
+++ b/src/core/dispatch/request.ts
@@ -12,9 +12,10 @@
 /** Maximum time for which a request waits for a server, as a share of the target latency.
  * After that, the caller is better off with a retry at another VM. */
 const WAIT_SHARE = 0.22;
-/** The same for a transient condition, such as a moving key. A move takes as long as the
- * running work on the key, so a response within the target is still likely, while a
- * refused caller would retry too late to meet it. */
+/** Maximum time for which a request waits while a transient condition blocks it, such as
+ * a moving key, as a share of the target latency. A move takes as long as the running
+ * work on the key, so a response within the target is still likely, while a refused
+ * caller would retry too late to meet it. */
 const TRANSIENT_WAIT_SHARE = 0.6;
 /** Timeout of a request if neither its caller nor its route specifies one, in
  * milliseconds. */
@@ -29,30 +30,34 @@
   host: string;
   /** Path and query. */
   target: string;
-  /** Milliseconds for which the caller waits, or null if it does not specify it. */
+  /** Milliseconds for which the caller waits for a response, or null if it does not
+   * specify this. */
   timeout: number | null;
-  /** Key, or null if the request has none. */
+  /** Key of the request, or null if it has none. */
   key: number | null;
-  /** Identifies the content of the request: equal for a retry by its caller, different for
-   * other requests. */
+  /** Identifies the content of the request. A retry by the caller has the same
+   * fingerprint, other requests have another one. */
   fingerprint: Fingerprint;
 }
 
-/** One attempt to have a server run a request. */
+/** One attempt to send a request to a server. */
 export interface Attempt {
   number: number;
+  /** Id of the server. */
   server: string;
   startedAt: number;
-  /** Key range that was known at the start, or null without a key. */
+  /** The assigned range that contained the request's key at the start of the attempt;
+   * null without a key, or if no assignment was known. */
   range: AssignedRange | null;
-  /** Time at which the request is hedged; Infinity for never. */
+  /** Time at which the request is hedged unless it has a response; Infinity for never. */
   hedgeAt: number;
 }
 
 /** Consecutive refusals of a request by its key's server. */
 export interface KeyRefusal {
+  /** Id of the server. */
   server: string;
-  /** Number of consecutive attempts that the server did not run. */
+  /** Number of consecutive attempts at which the server did not run the request. */
   count: number;
   /** Time before which the request is not sent to the same server again. */
   until: number;
@@ -63,50 +68,53 @@
   arrival: RequestArrival;
   route: Route;
   service: string;
-  /** Key, or null if the service or the request has none. */
+  /** Key; null if the request has none or its service is not keyed. */
   key: number | null;
   arrivedAt: number;
   /** Time by which the caller needs a response. */
   deadline: number;
   /** Time until which it may wait for a server. */
   waitEnd: number;
-  /** The same while a transient condition blocks it, such as a moving key. */
+  /** Time until which it may wait while a transient condition blocks it, such as a moving
+   * key. */
   transientWaitEnd: number;
-  /** Time of the last check of its timers. */
+  /** Time at which its timers were last checked. */
   checkedAt: number;
   /** Time at which the condition that it waits for ends by itself; Infinity if it does
    * not. */
   checkAt: number;
   /** Refusals by the key's server, or null. */
   refusal: KeyRefusal | null;
-  /** A random number in [0, 1). If only a share of the requests for a key is accepted, the
-   * request is accepted if this number is below the share. */
+  /** A random number in [0, 1). If only a share of the requests for its key is admitted,
+   * the request is admitted if this number is below the share. */
   chance: number;
-  /** Whether it was refused because its key is overloaded or a rate limit is reached. Such
-   * overload does not end within the target latency. */
+  /** Whether it was refused because its key is overloaded or a rate limit is reached.
+   * Such overload does not end within the target latency. */
   isShed: boolean;
   /** Attempts in flight. */
   attempts: Attempt[];
-  /** Servers to which it was sent, one entry for each attempt. A key's server that did not
-   * run it is removed, since no other server can run it. */
+  /** Ids of servers to which it was sent, one entry for each attempt. A server that did
+   * not run the request is removed if it owns the key, so that it is tried again: no
+   * other server can run the request. */
   tried: string[];
   /** Number of attempts that reached a server, or may have. */
   sentCount: number;
   /** Whether a server may have run it. */
   mayHaveRun: boolean;
-  /** Whether the remaining time until its deadline is unknown. */
+  /** Whether its deadline may already have passed, because the clock may be ahead. */
   isDeadlineUncertain: boolean;
-  /** Time before which it is not sent again, because its connection broke and the server's
-   * address is being checked. */
+  /** Time before which it is not sent again, because its connection broke and the
+   * server's address is being probed. */
   retryNotBefore: number;
-  /** Log lines that are written only if a notable event follows. */
-  deferredNotes: Note[];
-  /** Whether a notable event has occurred, so that all log lines are written. */
+  /** Log lines that are written only if a notable event of the request follows. */
+  deferredLines: Note[];
+  /** Whether a notable event has occurred, so that its further log lines are written at
+   * once. */
   isLogged: boolean;
 }
 
-/** Creates the state of a request that has just arrived; `key` is null if the service or
- * the request has none, and `chance` is a random number in [0, 1). */
+/** Creates the state of a request that has just arrived. `key` is null if the request has
+ * none or its service is not keyed, and `chance` is a random number in [0, 1). */
 export function createPendingRequest(
   arrival: RequestArrival,
   route: Route,
@@ -141,7 +149,7 @@
     mayHaveRun: false,
     isDeadlineUncertain: false,
     retryNotBefore: -Infinity,
-    deferredNotes: [],
+    deferredLines: [],
     isLogged: false,
   };
 }
@@ -150,16 +158,18 @@
 export type AttemptOutcome =
   | {
     kind: "answered";
+    /** HTTP status. */
     status: number;
     /** Whether the response is complete, echoes the request's id and is signed. */
     isGenuine: boolean;
-    /** Whether the server states that it did not run the request. */
+    /** Whether the server reports that it did not run the request. */
     isNotRun: boolean;
-    /** Id of the server that sent the response, or null if it states none. */
+    /** Id of the server that sent the response, or null if the response has none. */
     server: string | null;
+    /** Load that the server reports, or null. */
     load: ReportedLoad | null;
-    /** Maximum requests per second that the server accepts from all VMs combined; null if
-     * it states no limit, undefined if that is unknown. */
+    /** Maximum requests per second that the server accepts from all VMs together; null if
+     * it reports no limit, undefined if it is unknown whether it does. */
     rateLimit?: number | null;
   }
   | {
@@ -168,5 +178,6 @@
     mayHaveBeenSent: boolean;
     /** Whether the server's address refused the connection; false if omitted. */
     isConnectionRefused?: boolean;
+    /** Cause of the failure, for the log and the caller. */
     cause: string;
   };
--- a/src/core/dispatch/request_log.ts
+++ b/src/core/dispatch/request_log.ts
@@ -1,7 +1,7 @@
 /**
  * Writes log lines about requests. Lines of routine steps are deferred until a notable
- * event of the same request, such as a retry or a failure, since most requests complete
- * without one and their lines are of no interest.
+ * event of the same request, such as a retry or a failure. Most requests complete without
+ * such an event, and their lines are never written.
  *
  * @module
  */
@@ -12,13 +12,14 @@
 export class RequestLog {
   private constructor(
     private readonly version: () => number,
-    private readonly emit: (...notes: Note[]) => void,
+    private readonly emit: (...lines: Note[]) => void,
   ) {}
 
-  /** Adds the configuration's `version` to each line and passes lines to `emit`. */
+  /** Creates a log that adds the configuration's `version` to each line and passes the
+   * lines to `emit`. */
   static create(
     version: () => number,
-    emit: (...notes: Note[]) => void,
+    emit: (...lines: Note[]) => void,
   ): RequestLog {
     return new RequestLog(version, emit);
   }
@@ -31,10 +32,10 @@
     now: number,
     detail: Note["detail"],
   ): void {
-    this.emit(...request.deferredNotes);
-    request.deferredNotes = [];
+    this.emit(...request.deferredLines);
+    request.deferredLines = [];
     request.isLogged = true;
-    this.emit(this.#createNote(level, decision, request, now, detail));
+    this.emit(this.#createLine(level, decision, request, now, detail));
   }
 
   /** Defers a line, or writes it if the request had a notable event before. */
@@ -44,12 +45,12 @@
     now: number,
     detail: Note["detail"],
   ): void {
-    const note = this.#createNote("info", decision, request, now, detail);
-    if (request.isLogged) this.emit(note);
-    else request.deferredNotes.push(note);
+    const line = this.#createLine("info", decision, request, now, detail);
+    if (request.isLogged) this.emit(line);
+    else request.deferredLines.push(line);
   }
 
-  #createNote(
+  #createLine(
     level: Note["level"],
     decision: string,
     request: PendingRequest,
--- a/src/core/dispatch/retry_after_policy.ts
+++ b/src/core/dispatch/retry_after_policy.ts
@@ -21,16 +21,17 @@
 import type { PendingRequest } from "./request.ts";
 
 /** Delay for a caller whose response cannot meet the target, as a share of its remaining
- * time. Callers honour a delay of at most a third of it. */
+ * time. Callers honour a delay of at most a third of their remaining time. */
 const LATE_RETRY_SHARE = 0.3;
-/** Delay for a caller whose response can meet the target, as a share of the slack. The
- * rest is left for the network and for queueing. */
+/** Delay for a caller whose response can meet the target, as a share of the slack: the
+ * time that is left within the target latency, less the mean latency of the service. The
+ * rest of the slack is left for the network and for queueing. */
 const EARLY_RETRY_SHARE = 0.5;
 /** Minimum slack for a short delay, as a share of the target latency. With less the
  * response would be late anyway. */
 const MINIMUM_SLACK_SHARE = 0.1;
-/** How much shorter than the longest timeout of its route the timeout of a caller's first
- * attempt may be, as a share of the longest. */
+/** A request counts as the first attempt of its caller if its timeout is shorter than the
+ * longest timeout of its route by at most this share of the longest. */
 const FIRST_ATTEMPT_TOLERANCE = 0.05;
 /** Maximum random reduction of a delay, as a share of it, so that callers that were
  * refused together do not retry together. */
@@ -69,18 +70,20 @@
     return Math.max(MINIMUM_DELAY, delay * jitter);
   }
 
-  /** Delay with which a response can meet the target latency; null if none can. */
+  /** Delay with which a response can meet the target latency, in milliseconds; null if
+   * none can. */
   #earlyDelay(
     { arrivedAt, service, route }: PendingRequest,
     now: number,
   ): number | null {
     const meanLatency = this.context.fleet.meanLatency(service, now);
-    // Time that is left within the target for the delay, the network and queueing.
+    // Time within the target latency for the delay, the network and queueing.
     const slack = arrivedAt + route.targetLatency - now - meanLatency;
     if (slack < MINIMUM_SLACK_SHARE * route.targetLatency) return null;
     return slack * EARLY_RETRY_SHARE;
   }
 
+  /** Whether a request seems to be the first attempt of its caller, not a retry. */
   #isFirstAttempt({ arrival, route }: PendingRequest): boolean {
     if (arrival.timeout === null) return false;
     const longest = this.#longestTimeouts.get(route.name) ?? 0;
@@ -88,7 +91,7 @@
   }
 }
 
-/** Delay for a caller whose response cannot meet the target latency. */
+/** Delay for a caller whose response cannot meet the target latency, in milliseconds. */
 function lateDelay({ arrivedAt, arrival }: PendingRequest, now: number) {
   return (arrivedAt + (arrival.timeout ?? 0) - now) * LATE_RETRY_SHARE;
 }
--- a/src/core/dispatch/retry_budget.ts
+++ b/src/core/dispatch/retry_budget.ts
@@ -20,21 +20,23 @@
 /** See {@linkcode retryLimitsSchema}. */
 export type RetryLimits = z.infer<typeof retryLimitsSchema>;
 
-/** Number of buckets in a window; the sliding sum is accurate to one bucket. */
+/** Number of buckets into which a window is divided. Requests and retries are counted per
+ * bucket, so the sums over the sliding window are accurate to one bucket. */
 const BUCKETS = 20;
 /** Share of the budget that is used. The rest is a margin, because VMs count requests at
  * slightly different times and the number of VMs is an estimate. */
 const SAFETY_FACTOR = 0.75;
 /** Share of its minimum that a VM may use in its first window, in proportion to the time
  * since its start. A restarted VM has lost the count of its earlier retries, which still
- * count against the budget. The two shares add up to 1, so that a VM stays within its
- * minimum however often it restarts. */
+ * count against the budget. This share and {@linkcode SAFETY_FACTOR} add up to 1,
+ * so that a VM stays within its minimum however often it restarts. */
 const INITIAL_SHARE = 1 - SAFETY_FACTOR;
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
 /** Counters of one bucket. */
 interface Bucket {
+  /** Number of the bucket's time interval, counted from time 0. */
   index: number;
   requests: number;
   retries: number;
@@ -45,7 +47,7 @@
  *
  * ```ts
  * budget.recordRequest(now);
- * if (budget.withdraw(now, vms)) retry();
+ * if (budget.withdraw(now, vmCount)) retry();
  * ```
  */
 export class RetryBudget {
@@ -66,15 +68,15 @@
     this.#bucket(now).requests += 1;
   }
 
-  /** Takes a retry from the share of one of `vms` VMs; false if none is left. */
-  withdraw(now: number, vms: number): boolean {
-    if (this.remaining(now, vms) < 1) return false;
+  /** Takes a retry from the share of one of `vmCount` VMs; false if none is left. */
+  withdraw(now: number, vmCount: number): boolean {
+    if (this.remaining(now, vmCount) < 1) return false;
     this.#bucket(now).retries += 1;
     return true;
   }
 
-  /** Number of retries that one of `vms` VMs has left. */
-  remaining(now: number, vms: number): number {
+  /** Number of retries that one of `vmCount` VMs has left. */
+  remaining(now: number, vmCount: number): number {
     const bucket = this.#bucket(now);
     let requests = 0;
     let retries = 0;
@@ -83,7 +85,7 @@
       requests += each.requests;
       retries += each.retries;
     }
-    const vmMinimum = this.limits.minimum / Math.max(1, vms);
+    const vmMinimum = this.limits.minimum / Math.max(1, vmCount);
     return SAFETY_FACTOR * this.limits.ratio * requests +
       this.#minimumFactor(now) * vmMinimum - retries;
   }
@@ -103,8 +105,8 @@
     if (last !== undefined && last.index >= index) return last;
     const bucket = { index, requests: 0, retries: 0 };
     this.#buckets.push(bucket);
-    // Keeps one more bucket than a window has, since the window covers only a part of
-    // the oldest.
+    // Keeps one more bucket than a window has, since the window begins within the oldest
+    // bucket.
     while (this.#buckets.length > BUCKETS + 1) this.#buckets.shift();
     return bucket;
   }
--- a/src/core/dispatch/retry_budget_test.ts
+++ b/src/core/dispatch/retry_budget_test.ts
@@ -43,14 +43,14 @@
   t.pass();
 });
 
-/** Times of the requests and of the retries that were permitted, in milliseconds. */
+/** Times of the requests and of the permitted retries of all VMs, in milliseconds. */
 interface Simulation {
   requests: number[];
   retries: number[];
 }
 
-/** Maximum excess of retries over the budget, over all windows that end with a retry; at
- * most 0 if all VMs together stay within the budget. */
+/** Number of retries beyond the budget in the window in which it is highest, among all
+ * windows that end with a retry; at most 0 if all VMs together stay within the budget. */
 function excess({ requests, retries }: Simulation): number {
   const countInWindow = (times: number[], end: number) =>
     times.filter((time) => time > end - 10_000 && time <= end).length;
@@ -65,14 +65,15 @@
 }
 
 /**
- * Simulates 30 s of eight VMs that use all retries they may. `restarts` lists when VMs
- * restart and lose their counts, and `weights` distributes the requests over the VMs.
+ * Simulates eight VMs for 30 s, each of which uses all retries that it may. `restarts`
+ * lists when VMs restart and lose their counts, `weights` distributes the requests over
+ * the VMs, and `assumedVmCount` is the number of VMs that each VM assumes.
  */
 function simulate(
   restarts: readonly { at: number; vm: number }[],
   weights: readonly number[],
   perSecond: number,
-  assumedVms = 8,
+  assumedVmCount = 8,
 ): Simulation {
   const vms = 8;
   const budgets = Array.from(
@@ -94,7 +95,7 @@
         budget.recordRequest(now);
         simulation.requests.push(now);
       }
-      while (budget.withdraw(now, assumedVms)) simulation.retries.push(now);
+      while (budget.withdraw(now, assumedVmCount)) simulation.retries.push(now);
     }
   }
   return simulation;
@@ -103,8 +104,8 @@
 const EVEN_WEIGHTS = new Array<number>(8).fill(1);
 
 /**
- * A restarted VM has lost its counts. Its full share of the minimum was available again,
- * so that VMs that all restarted within one window used the minimum twice.
+ * Guards against a restarted VM that uses its full share of the minimum again, since it
+ * has lost its counts: VMs that all restarted within one window used the minimum twice.
  */
 test("retry budget: VMs that restart at once, in turn or repeatedly stay within the budget", (t) => {
   const all = (at: number) => EVEN_WEIGHTS.map((_, vm) => ({ at, vm }));
@@ -128,7 +129,7 @@
 test("retry budget: VMs with uneven load stay within the budget", (t) => {
   const simulation = simulate([], [40, 1, 1, 1, 1, 1, 1, 0], 100);
   t.true(excess(simulation) <= 0);
-  // More than half of the budget is still usable.
+  // The VMs still use more than half of the budget.
   t.true(simulation.retries.length > 0.5 * 0.2 * simulation.requests.length);
 });
 
@@ -149,16 +150,16 @@
 test("retry budget: a VM that has just started may use some of its share", (t) => {
   const budget = RetryBudget.create(LIMITS, 0);
   for (let i = 0; i < 20; i++) budget.recordRequest(100);
-  let taken = 0;
-  while (budget.withdraw(100, 8)) taken += 1;
-  t.is(taken, 3);
+  let withdrawn = 0;
+  while (budget.withdraw(100, 8)) withdrawn += 1;
+  t.is(withdrawn, 3);
 });
 
-test("retry budget: it is available again after a window has passed", (t) => {
+test("retry budget: retries are available again after a window has passed", (t) => {
   const budget = RetryBudget.create(LIMITS);
-  let taken = 0;
-  while (budget.withdraw(0, 8)) taken += 1;
-  t.is(taken, 5);
+  let withdrawn = 0;
+  while (budget.withdraw(0, 8)) withdrawn += 1;
+  t.is(withdrawn, 5);
   t.false(budget.withdraw(9_000, 8));
   t.true(budget.withdraw(10_500, 8));
 });
--- a/src/core/dispatch/retry_policy.ts
+++ b/src/core/dispatch/retry_policy.ts
@@ -13,12 +13,12 @@
 const HEDGE_LATENCY_FACTOR = 3;
 /** Share of the route's target latency during which a request is not hedged. */
 const HEDGE_TARGET_SHARE = 0.5;
-/** Number of servers that terminated while they processed a request, from which on the
- * request is no longer retried. */
-const ENDS_TO_STOP_RETRIES = 2;
+/** Number of servers that crashed while they ran a request, from which on the request is
+ * no longer retried. */
+const CRASHES_TO_STOP_RETRIES = 2;
 /** Number of VMs that are assumed to share the retry budget while their number is
  * unknown. It is high, because too few retries are safer than too many. */
-const ASSUMED_VMS = 64;
+const ASSUMED_VM_COUNT = 64;
 
 /** See the module's comment. */
 export class RetryPolicy {
@@ -41,13 +41,14 @@
     const { maximumAttempts } = request.route;
     const { fingerprint } = request.arrival;
     if (request.isDeadlineUncertain) return false;
-    // After two terminated servers only the caller may send the request again.
+    // Only the caller may send a request again that has crashed two servers.
     if (
-      this.context.quarantine.crashCount(fingerprint) >= ENDS_TO_STOP_RETRIES
+      this.context.quarantine.crashCount(fingerprint) >= CRASHES_TO_STOP_RETRIES
     ) {
       return false;
     }
-    // A request with a key may have one more attempt, since they all go to one server.
+    // A request with a key may have one more attempt, since all of its attempts go to the
+    // same server.
     const hasAttemptsLeft = request.key !== null
       ? request.tried.length <= maximumAttempts
       : request.tried.length < maximumAttempts;
@@ -76,17 +77,17 @@
 
   /** Whether a retry is left in this VM's share of the budget. */
   mayWithdraw(request: PendingRequest, now: number): boolean {
-    const vms = this.context.vms() ?? ASSUMED_VMS;
-    return this.#budget(request.service).remaining(now, vms) >= 1;
+    const vmCount = this.context.vms() ?? ASSUMED_VM_COUNT;
+    return this.#budget(request.service).remaining(now, vmCount) >= 1;
   }
 
   /** Takes a retry from this VM's share of the budget; false if none is left. */
   withdraw(request: PendingRequest, now: number): boolean {
-    const vms = this.context.vms() ?? ASSUMED_VMS;
-    return this.#budget(request.service).withdraw(now, vms);
+    const vmCount = this.context.vms() ?? ASSUMED_VM_COUNT;
+    return this.#budget(request.service).withdraw(now, vmCount);
   }
 
-  /** Whether a response before the deadline is still likely. */
+  /** Whether enough time is left that a response before the deadline is likely. */
   #isWorthwhile(request: PendingRequest, now: number): boolean {
     const meanLatency = this.context.fleet.meanLatency(request.service, now);
     return request.deadline - now > meanLatency / 2;
--- a/src/core/dispatch/server_choice.ts
+++ b/src/core/dispatch/server_choice.ts
@@ -8,30 +8,32 @@
 import type { RateTokens } from "../rates/index.ts";
 import type { ColdAdmission } from "./cold_admission.ts";
 
-/** Maximum requests of all VMs at a server, in multiples of its slots. One set runs and
- * one waits, so that no slot is idle between requests and the server's own queue never
- * fills. */
+/** Maximum number of requests of all VMs at a server, per slot of the server. One runs
+ * and one waits, so that no slot is idle between requests and the server's own queue
+ * never fills. */
 const REQUESTS_PER_SLOT = 2;
-/** Maximum requests of this VM at a server whose load is unknown, in multiples of the
- * VM's equal share of the slots, since callers are spread unevenly over the VMs. If the
- * server has just reported its load, this VM may fill all slots. */
+/** Maximum number of requests of this VM at a server whose load is unknown, in multiples
+ * of the VM's equal share of the slots. It exceeds 1, since callers are spread unevenly
+ * over the VMs. If the server has just reported its load, this VM may fill all slots. */
 const LOCAL_SHARE_FACTOR = 4;
-/** The same as a share of all slots, unless the server has just refused a request. With
- * 91 VMs, most receive a server's load too rarely to know it. If each sent only one
- * request, a server with busy keys would be idle while VMs refuse its callers. */
+/** Share of all slots of a server that this VM may fill while the load of the server is
+ * unknown, unless the server has just refused a request. With 91 VMs, most receive a
+ * server's load too rarely to know it. If each sent only one request, a server whose keys
+ * have many requests would be idle while VMs refuse callers of these keys. */
 const UNKNOWN_LOAD_SHARE = 0.5;
 /** Time for which a refusal counts as recent, in milliseconds: about the duration of the
  * work that filled the server. */
 const RECENT_REFUSAL_TIME = 500;
 /** Maximum number of servers that one selection considers. */
 const SAMPLE_SIZE = 24;
-/** Number of VMs that is assumed until it is known. */
-const ASSUMED_VMS = 8;
+/** Number of VMs that are assumed to share the servers while the actual number is
+ * unknown. */
+const ASSUMED_VM_COUNT = 8;
 /** Cost factor of a server in another availability zone: traffic between zones is billed
  * and has a higher latency. */
 const REMOTE_ZONE_FACTOR = 1.7;
 /** Cost factor of a cold or rate-limited server that may receive a request now. Its
- * permitted requests are few, and each unused one leaves it idle. */
+ * permitted requests are few, and the server is idle for each one that is not used. */
 const RESTRICTED_FACTOR = 0.5;
 /** Maximum random increase of a cost, as a share of it, so that VMs do not all select the
  * same server. */
@@ -42,12 +44,12 @@
   fleet: Fleet;
   availabilityZone: string;
   /** Number of VMs that share the servers, or null when unknown. */
-  vms: number | null;
+  vmCount: number | null;
   cold: ColdAdmission;
   tokens: RateTokens;
   /** Whether no route to the service has a more urgent priority than the request's. */
   isUrgent: boolean;
-  /** A number in [0, 1). */
+  /** Returns a random number in [0, 1). */
   draw(): number;
 }
 
@@ -55,10 +57,10 @@
 export function hasCapacity(
   server: TrackedServer,
   now: number,
-  vms: number | null,
+  vmCount: number | null,
 ): boolean {
   const limit = server.entry.slots * REQUESTS_PER_SLOT;
-  if (server.inFlight >= localLimit(server, now, vms)) return false;
+  if (server.inFlight >= localLimit(server, now, vmCount)) return false;
   return server.load(now) < limit;
 }
 
@@ -66,10 +68,12 @@
 function localLimit(
   server: TrackedServer,
   now: number,
-  vms: number | null,
+  vmCount: number | null,
 ): number {
   const { slots } = server.entry;
-  const share = Math.ceil(slots * LOCAL_SHARE_FACTOR / (vms ?? ASSUMED_VMS));
+  const share = Math.ceil(
+    slots * LOCAL_SHARE_FACTOR / (vmCount ?? ASSUMED_VM_COUNT),
+  );
   if (server.isLoadKnown(now)) return Math.max(share, slots);
   if (now - server.refusedAt < RECENT_REFUSAL_TIME) return share;
   return Math.max(share, Math.ceil(slots * UNKNOWN_LOAD_SHARE));
@@ -86,7 +90,7 @@
   now: number,
   context: ChoiceContext,
 ): TrackedServer | null {
-  const { fleet, vms, cold, tokens } = context;
+  const { fleet, vmCount, cold, tokens } = context;
   const meanLatency = fleet.meanLatency(service, now);
   const usable = sample(fleet.serversOf(service), context.draw).filter((
     server,
@@ -96,7 +100,7 @@
   );
   const pool = healthy.length > 0 ? healthy : usable;
   const candidates = pool.filter((server) =>
-    hasCapacity(server, now, vms) && cold.maySend(server, now)
+    hasCapacity(server, now, vmCount) && cold.maySend(server, now)
   );
   requestToken(candidates, now, context);
   let best: TrackedServer | null = null;
@@ -118,8 +122,8 @@
   return best;
 }
 
-/** Requests a token for one rate-limited server. A token that is granted too late for
- * the request being placed is available to a later one. */
+/** Requests a token for one of the rate-limited servers. A token that is granted too late
+ * for this request is available to a later one. */
 function requestToken(
   servers: readonly TrackedServer[],
   now: number,
--- a/src/core/dispatch/server_choice_test.ts
+++ b/src/core/dispatch/server_choice_test.ts
@@ -33,12 +33,12 @@
     TrackedServer.create(backendServer("i", { address: "h:1", slots: 6 }));
   const countAccepted = (
     server: TrackedServer,
-    firstNumber: number,
+    firstAttempt: number,
     now: number,
   ) => {
     let count = 0;
     while (hasCapacity(server, now, 91)) {
-      server.started(firstNumber + count, now);
+      server.started(firstAttempt + count, now);
       count += 1;
     }
     return count;
--- a/src/core/dispatch/wait_queues.ts
+++ b/src/core/dispatch/wait_queues.ts
@@ -16,7 +16,7 @@
     return new WaitQueues();
   }
 
-  /** Services that have or had queued requests. */
+  /** Names of the services that have or had queued requests. */
   services(): string[] {
     return [...this.#queues.keys()];
   }
--- a/src/core/quarantine/crash_detector.ts
+++ b/src/core/quarantine/crash_detector.ts
@@ -6,7 +6,7 @@
  * they are overloaded, close idle ones, lose responses and become unreachable. A request
  * whose connection broke is therefore recorded, and a crash is attributed to it only
  * once its server process is known to have exited: connections to its address are
- * refused, another incarnation responds there, or the registry reports the removal or
+ * refused, another process responds there, or the registry reports the removal or
  * restart of the server. The exit of a draining server is expected and is not a crash.
  *
  * The registry takes seconds to report that a server has exited, and reports nothing
@@ -126,7 +126,7 @@
   }
 
   /** Records that the known process of a server has exited: its address refused a
-   * connection, or another incarnation responded there. */
+   * connection, or another process responded there. */
   ended(server: TrackedServer | undefined, now: number): void {
     if (server === undefined || server.entry.isDraining) return;
     const state = this.#currentState(server, now);
