--- a/src/core/dispatch/outcome_review.ts
+++ b/src/core/dispatch/outcome_review.ts
@@ -15,8 +15,8 @@
 import type { Attempt, AttemptOutcome, PendingRequest } from "./request.ts";
 import type { RequestLog } from "./request_log.ts";
 
-/** Delay before a request is sent again to the server of its key after that server did not
- * run it, in milliseconds; doubles with each consecutive time. */
+/** Delay before a request is sent again to the server of its key after that server did
+ * not run it, in milliseconds; doubles with each consecutive time. */
 const KEY_REFUSAL_DELAY = 30;
 /** Delay before a request whose connection broke is sent again, in milliseconds. It
  * covers the probe of the server's address, which shows whether the server crashed, and
--- a/src/core/quarantine/crash_detector.ts
+++ b/src/core/quarantine/crash_detector.ts
@@ -1,11 +1,11 @@
 /**
  * Detects crashes of server processes and attributes them to the requests that were in
- * progress on the process.
+ * progress there.
  *
  * A broken connection alone is no evidence of a crash: servers reset connections when
  * they are overloaded, close idle ones, lose responses and become unreachable. A request
  * whose connection broke is therefore recorded, and a crash is attributed to it only
- * once its server process is known to have exited: connections to its address are
+ * once the server process is known to have exited: connections to its address are
  * refused, another process responds there, or the registry reports the removal or
  * restart of the server. The exit of a draining server is expected and is not a crash.
  *
--- a/src/core/quarantine/quarantine.ts
+++ b/src/core/quarantine/quarantine.ts
@@ -59,8 +59,8 @@
 export class Quarantine {
   /** Records by the request's complete fingerprint. */
   readonly #records = new Map<string, RequestCrashes>();
-  /** Complete fingerprints of the records by their heads. A request whose head is not in
-   * it has no record, which is found out without hashing its body. */
+  /** Complete fingerprints of the records by their heads. A request whose head is
+   * missing here has no record, so its body need not be hashed to look it up. */
   readonly #byHead = new Map<string, Set<string>>();
   #revision = 0;
   #ownRevision = 0;
