--- a/src/core/cluster_state.ts
+++ b/src/core/cluster_state.ts
@@ -27,7 +27,7 @@
 /** Queues effects for the runtime to carry out. */
 export type Emit = (...effects: EntryEffect[]) => void;
 
-/** Fields of a log line. */
+/** Further fields of a log line. */
 type Detail = Record<string, string | number | boolean | null>;
 
 /** See the module's comment. */
@@ -53,16 +53,16 @@
 
   private constructor(
     private readonly emit: Emit,
-    private readonly serverEnded: (crash: CrashAttribution) => void,
+    private readonly onCrash: (crash: CrashAttribution) => void,
   ) {}
 
-  /** Creates an empty state that passes its effects to `emit`. `serverEnded` is called
-   * for each request that a server was running when the server ended. */
+  /** Creates an empty state that passes its effects to `emit`. `onCrash` is called for
+   * each request that a server was running when it crashed. */
   static create(
     emit: Emit,
-    serverEnded: (crash: CrashAttribution) => void = () => {},
+    onCrash: (crash: CrashAttribution) => void = () => {},
   ): ClusterState {
-    return new ClusterState(emit, serverEnded);
+    return new ClusterState(emit, onCrash);
   }
 
   /** The announced term holder with the highest term, or null. */
@@ -70,7 +70,8 @@
     return this.#holder;
   }
 
-  /** Versions of the state that this VM has, as messages to other VMs carry them. */
+  /** The part of this VM's state that every message to another VM includes. `position` is
+   * that of the assignments. */
   senderState(position = this.directory.position): SenderState {
     const { term, version } = position;
     const evacuation = this.fleet.evacuations.snapshot;
@@ -82,7 +83,7 @@
     };
   }
 
-  /** Applies a configuration if its version is newer. */
+  /** Applies a configuration if its version is higher than that of the active one. */
   configure(configuration: Configuration): void {
     if (!this.catalog.apply(configuration)) return;
     this.logDecision("configuration.applied", {
@@ -97,7 +98,7 @@
     this.#applyEvacuation(this.fleet.evacuations.applyRead(read), now);
   }
 
-  /** Applies evacuated zones that another VM has sent. */
+  /** Applies evacuated zones that were received from another VM. */
   applyPeerEvacuations(snapshot: EvacuationSnapshot, now: number): void {
     this.#applyEvacuation(this.fleet.evacuations.applySnapshot(snapshot), now);
   }
@@ -131,8 +132,8 @@
     });
   }
 
-  /** Handles changes to the list of servers: closes the connections to servers that
-   * were removed or have restarted, and logs each change. */
+  /** Handles changes of the fleet: passes them to the crash detector, closes connections
+   * to servers that were removed or have restarted, and logs each change. */
   applyServerChanges(changes: readonly FleetChange[], now: number): void {
     this.crashDetector.changed(changes, now);
     for (const { kind, server } of changes) {
@@ -150,8 +151,8 @@
     }
   }
 
-  /** Handles the return of the store after an outage: servers whose registry entries
-   * expired during the outage get time to register again. */
+  /** Handles the end of an outage of the store: servers whose registry entries expired
+   * during the outage get time to register again. */
   storeRegained(now: number): void {
     this.fleet.recovered(now);
     this.logDecision("store.regained", {});
@@ -171,8 +172,9 @@
     }
   }
 
-  /** Applies changes to the assignments relative to version `since`. A change that does
-   * not follow on the known version is dropped, and the assignment is requested again. */
+  /** Applies changes of the assignments since version `since`. They are ignored if this
+   * VM's version is another one; the next report to the term holder then shows that this
+   * VM lacks them. */
   applyAssignmentChanges(changes: readonly Assignment[], since: number): void {
     for (const change of changes) {
       if (!this.directory.applyChanges(change, since)) continue;
@@ -195,10 +197,11 @@
     return true;
   }
 
+  /** Passes on a crash that was attributed to a request, and logs it if it is new. */
   #reportCrash(crash: CrashAttribution): void {
-    const { request, server, isNew: isNews } = crash;
-    this.serverEnded(crash);
-    if (!isNews) return;
+    const { request, server, isNew } = crash;
+    this.onCrash(crash);
+    if (!isNew) return;
     this.logDecision("request.accused", {
       request: request.id,
       server,
@@ -207,7 +210,7 @@
     });
   }
 
-  /** Emits a log line. */
+  /** Emits a log line named `decision`, of level `info`. */
   logDecision(decision: string, detail: Detail): void {
     this.emit({ kind: "note", level: "info", decision, detail });
   }
--- a/src/core/exchange/overload_monitor.ts
+++ b/src/core/exchange/overload_monitor.ts
@@ -1,7 +1,7 @@
 /**
- * Detects overloaded servers of keyed services on the term holder, from the reports of
- * all VMs. A VM that sends a server one request every few seconds cannot detect by
- * itself that the server is full.
+ * Runs on the term holder and detects overloaded servers of keyed services from the
+ * reports of all VMs. A VM that sends a server one request every few seconds cannot
+ * detect by itself that the server is at capacity.
  *
  * @module
  */
@@ -15,10 +15,11 @@
 } from "../keyspace/index.ts";
 import { MAXIMUM_RATES, type OverloadState } from "../peers/index.ts";
 
-/** Time between two checks, in milliseconds: half of the interval between reports. */
+/** Time between two checks, in milliseconds: half of the time between two reports of a
+ * follower. */
 const CHECK_INTERVAL = 250;
 /** Number of requests from which a server's load is published, in multiples of its
- * slots. A server with fewer requests will have room by the time other VMs receive its
+ * slots. A server with fewer requests has free slots by the time other VMs receive its
  * load. */
 const LOAD_THRESHOLD = 2;
 /** Maximum number of server loads in one answer; bounds its size. */
@@ -34,7 +35,7 @@
     private readonly loads: KeyLoads,
   ) {}
 
-  /** Creates a monitor without results. */
+  /** Creates a monitor that has not checked yet. */
   static create(clusterState: ClusterState, loads: KeyLoads): OverloadMonitor {
     return new OverloadMonitor(clusterState, loads);
   }
@@ -44,7 +45,8 @@
     return this.#current;
   }
 
-  /** Repeats the check if it is due. The resulting limits apply to this VM too. */
+  /** Repeats the check if it is due, and applies the resulting limits on this VM. The
+   * followers receive them with the holder's answers. */
   advance(holder: TermHolder, now: number): void {
     if (now - this.#checkedAt < CHECK_INTERVAL) return;
     this.#checkedAt = now;
@@ -55,7 +57,9 @@
       const ranges = holder.ranges(service);
       return computeKeyLimits(service, ranges, keys, DEMAND_WINDOW, fleet, now);
     });
-    const loads = services.flatMap((service) => this.#fullServers(service, now))
+    const loads = services.flatMap((service) =>
+      this.#loadsAtCapacity(service, now)
+    )
       .slice(0, MAXIMUM_LOADS);
     this.#logChanges(limits);
     const rates = fleet.reportedRateLimits(now).slice(0, MAXIMUM_RATES);
@@ -77,7 +81,8 @@
     }
   }
 
-  #fullServers(service: string, now: number): OverloadState["loads"] {
+  /** Loads of the service's servers that exceed the threshold for publication. */
+  #loadsAtCapacity(service: string, now: number): OverloadState["loads"] {
     return this.clusterState.fleet.serversOf(service).flatMap((server) => {
       const reportedLoad = server.latestLoadReport(now);
       const minimum = server.entry.slots * LOAD_THRESHOLD;
--- a/src/core/exchange/peer_exchange.ts
+++ b/src/core/exchange/peer_exchange.ts
@@ -47,6 +47,7 @@
   readonly #stateExchange: StateExchange;
   readonly #configurationWatch: ConfigurationWatch;
   readonly #quarantine: QuarantineExchange;
+  /** Whether a caller has requested a key of a keyed service. */
   #isAssignmentNeeded = false;
   #advancedAt = -Infinity;
   readonly #vmCount = VmCount.create();
@@ -91,7 +92,8 @@
   }
 
   /** Creates an exchange for the process at `ownAddress` that has received no messages.
-   * `seeds` are addresses of VMs to contact if the term holder is unknown or silent. */
+   * `seeds` are addresses of VMs to contact if the term holder is unknown or does not
+   * answer. `draw` returns a random number in [0, 1). */
   static create(
     clusterState: ClusterState,
     campaign: TermCampaign,
@@ -120,8 +122,8 @@
   }
 
   /** Whether this VM receives store updates from the term holder instead of calling the
-   * store. Only observers do: they do not stand for election and need nothing else from
-   * the store. */
+   * store. Only observers do: unlike candidates, they need nothing else from the
+   * store. */
   hasHolderUpdates(now: number): boolean {
     return this.campaign.isObserver &&
       this.followerLink.isStoreStateCurrent(now);
@@ -133,20 +135,21 @@
     this.followerLink.sampleKey(service, key);
   }
 
-  /** Handles a server's refusal of a key that is assigned to it in the local state. */
+  /** Handles a server's refusal of a request for a key that, to this VM's knowledge, is
+   * assigned to the server. This VM may have missed a change, so it reports early. */
   keyRefused(): void {
     this.followerLink.expedite();
   }
 
-  /** Handles the start or end of a rate limit that a server reported to this VM. Makes
-   * the next report due soon so that the other VMs learn of it. */
+  /** Handles the start or end of a rate limit that a server reported to this VM. The next
+   * report to the term holder is sent early, so that the other VMs receive the change. */
   rateLimitChanged(change: ServerRateLimitChange, now: number): void {
     this.clusterState.logRateLimitChange(change, now);
     this.followerLink.expedite();
   }
 
-  /** When {@linkcode advance} must be called next; Infinity if there is no fixed
-   * time. */
+  /** Time by which {@linkcode advance} must be called for an early or a first report;
+   * Infinity if there is none. */
   nextAt(): number {
     return this.campaign.holder === null
       ? this.followerLink.nextAt()
@@ -234,8 +237,9 @@
     }
   }
 
-  /** Handles assignments read from the store. If the holder has written newer ones it
-   * is still running, even if it is too busy to answer reports. */
+  /** Handles assignments read from the store. If they are newer than those known here and
+   * of the holder's term, the holder still runs, even if it is too busy to answer
+   * reports. */
   assignmentsRead(assignments: readonly Assignment[], now: number): void {
     const { holder, directory } = this.clusterState;
     const { term, version } = directory.position;
@@ -248,9 +252,8 @@
   }
 
   /**
-   * Asks the previous holder, if it is still running, for the grants it has made.
-   * Without them, the new holder must assume that unreachable servers still hold their
-   * keys.
+   * Requests the unexpired grants of the previous holder, in case it still runs. Without
+   * them, the new holder must assume that unreachable servers still hold their keys.
    */
   requestFormerGrants(term: number, formerTerm: number): void {
     const former = this.clusterState.holder;
@@ -304,7 +307,8 @@
     );
   }
 
-  /** State to include in a report. If one is due, it contains the quarantine update. */
+  /** State to include in a report to the holder. If a report is due, the state contains a
+   * quarantine update. */
   #reportState(now: number): SenderState {
     const state = this.clusterState.senderState();
     const { holder } = this.followerLink;
@@ -312,6 +316,7 @@
     return { ...state, quarantine: this.#quarantine.report(holder, now) };
   }
 
+  /** Sends the quarantine updates that are due. */
   #shareQuarantine(now: number): void {
     const updates = this.#quarantine.advance(
       this.#holderSilence(now),
@@ -329,8 +334,8 @@
     return isOwn ? 0 : this.followerLink.silence(now);
   }
 
-  /** Sends a quarantine update. Any message can carry one. This kind is used because it
-   * otherwise repeats known information, and older versions accept it as such. */
+  /** Sends a quarantine update. Any message can include one. This kind is used because
+   * older versions accept it: the rest of it only repeats the known term holder. */
   #sendQuarantine({ address, update }: QuarantineSend): void {
     const { holder } = this.clusterState;
     if (holder === null) return;
@@ -342,8 +347,8 @@
     });
   }
 
-  /** Latencies of the servers that hold keys to include in the report, if one is
-   * due. */
+  /** If a report is due, returns the latencies of keyed services' servers to include in
+   * it. */
   #takeLatencies(now: number): ServerSamples[] {
     const { catalog, fleet } = this.clusterState;
     if (!this.followerLink.isReportDue(now)) return [];
@@ -352,7 +357,7 @@
     );
   }
 
-  /** Rate limits to include in the report, if one is due. */
+  /** If a report is due, returns the rate limits to include in it. */
   #takeRates(now: number): ServerRateLimit[] {
     if (!this.followerLink.isReportDue(now)) return [];
     return this.clusterState.fleet.takeUnsentRateLimits(now).slice(
@@ -361,12 +366,13 @@
     );
   }
 
+  /** Applies the term holder's registry update. */
   #applyRegistry(update: RegistryUpdate | null, now: number): void {
     const { registry, fleet } = this.clusterState;
     const changes = update === null ? null : registry.applyUpdate(update);
     if (changes === null) return;
-    // The store may have recovered without this VM noticing. Servers whose entries
-    // expired during the outage get time to register again.
+    // The store may be reachable again before this VM has detected it. Servers whose
+    // entries expired during the outage get time to register again.
     if (this.store.isLost && changes.removed.length > 0) fleet.recovered(now);
     this.clusterState.applyServerChanges(
       fleet.apply(changes.entries, changes.removed, now, changes.unreadable),
@@ -392,8 +398,8 @@
   ): void {
     const isOfHolder = address === this.followerLink.holder;
     if (!isOfHolder || answersTo === undefined) return;
-    // Counted from when this VM sent the report, because the answer may have been
-    // delayed.
+    // The age of the store contact counts from when this VM sent the report, because the
+    // answer may have been delayed.
     const storeContactAt = answersTo - (storeSilence ?? Infinity);
     this.followerLink.reportAnswered(answersTo, storeContactAt);
     this.#quarantine.reportAnswered(address, answersTo);
@@ -425,10 +431,10 @@
   }
 
   /**
-   * Shows a follower that this VM, the last term holder, is running although it has
-   * lost its authority. During a store outage no VM has authority. Without a sign from
-   * a VM of high fitness, less fit VMs would stand for election and, being more
-   * numerous, win once the store is back.
+   * Shows a follower that this VM, the last term holder, still runs although it has lost
+   * its authority. During a store outage no VM has authority. If no VM of high fitness
+   * were known to run, VMs of lower fitness would become candidates and, because there
+   * are more of them, win the election once the store is reachable again.
    */
   #announceLiveness(address: string, now: number): void {
     const { holder } = this.clusterState;
@@ -440,9 +446,9 @@
     });
   }
 
-  /** Handles a sign of life of the last term holder, which has no authority. It counts
-   * only while this VM cannot reach the store either: a holder that alone is
-   * disconnected must not keep other VMs from being elected. */
+  /** Handles a message that shows that the last term holder, which has lost its authority,
+   * still runs. It is ignored if this VM can reach the store: a holder that alone cannot
+   * reach it must not keep other VMs from being elected. */
   #applyLiveness({ fitness }: HolderAddress, now: number): void {
     if (this.store.isLost) this.campaign.observeFitness(fitness, now);
   }
@@ -452,8 +458,8 @@
     { term, formerTerm }: MessageOf<"term.taken">,
     now: number,
   ): void {
-    const exposures = this.campaign.yieldTo(term, formerTerm, now);
-    if (exposures === null) return;
+    const outstandingLeases = this.campaign.yieldTo(term, formerTerm, now);
+    if (outstandingLeases === null) return;
     this.clusterState.logDecision("term.yielded", {
       term: formerTerm,
       toTerm: term,
@@ -462,7 +468,7 @@
       kind: "term.yielded",
       ...this.clusterState.senderState(),
       toTerm: term,
-      exposures: [...exposures],
+      exposures: [...outstandingLeases],
     });
   }
 
--- a/src/core/exchange/peer_exchange_test.ts
+++ b/src/core/exchange/peer_exchange_test.ts
@@ -1,8 +1,9 @@
 /**
- * Guards against a VM that keeps using outdated assignments after it was suspended. The
- * term had changed in the meantime, and the VM's first report was lost with a failed
- * connection. Until its next report, 500 ms later, it sent requests to a server that no
- * longer held their keys, and ignored that each was answered with 421.
+ * Guards against a VM that keeps using outdated assignments after it was suspended. If
+ * the term changes during the suspension and the VM's first report is lost with a failed
+ * connection, its next regular report follows 500 ms later. Until then the VM sent
+ * requests to a server that no longer held their keys, although it answered each of them
+ * with 421.
  */
 import test from "ava";
 import { fingerprintOf } from "../../../test/support/fingerprint.ts";
@@ -176,9 +177,9 @@
   t.deepEqual(reportTimes(5_620, 6_200), [6_080]);
 });
 
-// A VM without the store requests the state of other VMs every 1.5 s. Guards against
-// answering each time with the whole configuration although the VM has it: with 2,000
-// routes and 74 VMs that was 360 MB within 10 s.
+// A VM that cannot reach the store requests the state of other VMs every 1.5 s. Guards
+// against answers with the whole configuration to a VM that has it: with 2,000 routes
+// and 74 VMs they amounted to 360 MB within 10 s.
 test("peer exchange: a VM that has the configuration is not sent it again", (t) => {
   const { step } = createFollower();
   const requestState = (configuration: number, takesParts?: boolean) => {
--- a/src/core/exchange/permit_exchange.ts
+++ b/src/core/exchange/permit_exchange.ts
@@ -1,9 +1,9 @@
 /**
- * Messages by which VMs request permits from the term holder to run requests that
- * crashed servers.
+ * Exchanges the messages by which VMs request permits from the term holder. A request
+ * that has crashed a server needs a permit to run.
  *
- * A VM without a known term holder, or whose term holder does not answer, gets no
- * permit. It rejects such requests immediately instead of risking another server crash.
+ * A VM that knows no term holder, or whose term holder does not answer, gets no permit.
+ * It refuses such requests immediately instead of risking another server crash.
  *
  * @module
  */
@@ -16,7 +16,7 @@
   RunPermits,
 } from "../quarantine/index.ts";
 
-/** Messages of this exchange. */
+/** Messages that request, grant or deny, and release permits. */
 export type PermitMessage =
   | MessageOf<"permit.asked">
   | MessageOf<"permit.told">
@@ -35,7 +35,7 @@
     this.permits = RunPermits.create({
       requestPermit: (request, duration, now) =>
         this.#requestPermit(request, duration, now),
-      release: (request, hasEnded) => this.#returnPermit(request, hasEnded),
+      release: (request, hasCrashed) => this.#release(request, hasCrashed),
     });
   }
 
@@ -48,7 +48,8 @@
     return new PermitExchange(clusterState, emit, ownAddress);
   }
 
-  /** Makes the VM at address `holder` the term holder. */
+  /** Uses the VM at address `holder` as the term holder from now on. If it is this VM, it
+   * issues permits. */
   follow(holder: string, now: number): void {
     if (holder === this.ownAddress) this.#issuer.begin(now);
     else this.#issuer.end();
@@ -105,11 +106,11 @@
     return null;
   }
 
-  #returnPermit(request: string, hasEnded: boolean): void {
+  #release(request: string, hasCrashed: boolean): void {
     const address = this.clusterState.holder?.address;
     if (address === undefined) return;
     if (address === this.ownAddress) {
-      return this.#issuer.released(request, address, hasEnded);
+      return this.#issuer.released(request, address, hasCrashed);
     }
     this.emit({
       kind: "peer.send",
@@ -118,7 +119,7 @@
         kind: "permit.returned",
         ...this.clusterState.senderState(),
         request,
-        hasEnded,
+        hasEnded: hasCrashed,
       },
     });
   }
--- a/src/core/exchange/permit_exchange_test.ts
+++ b/src/core/exchange/permit_exchange_test.ts
@@ -9,7 +9,7 @@
 import { PermitExchange, type PermitMessage } from "./permit_exchange.ts";
 
 const REQUEST = "fingerprint";
-/** When the issuer starts to issue permits. */
+/** Time from which the issuer issues permits, in milliseconds. */
 const ISSUING_FROM = MAXIMUM_PERMIT;
 
 interface Vm {
@@ -32,6 +32,7 @@
   });
 }
 
+/** Returns the kind of the permission of a copy that is to run for 800 ms. */
 function check({ exchange }: Vm, copy: string, now: number): string {
   return exchange.permits.check(REQUEST, copy, 800, now).kind;
 }
@@ -60,8 +61,8 @@
   b.exchange.receive("a", request.message as PermitMessage, ISSUING_FROM);
   const [answer] = b.sent.splice(0);
   t.like(answer.message, { kind: "permit.told", isGranted: false });
-  const forged = { ...answer.message, isGranted: true } as PermitMessage;
-  a.exchange.receive("b", forged, ISSUING_FROM + 1);
+  const grant = { ...answer.message, isGranted: true } as PermitMessage;
+  a.exchange.receive("b", grant, ISSUING_FROM + 1);
   t.is(check(a, "1", ISSUING_FROM + 2), "asked");
 });
 
@@ -69,7 +70,7 @@
   const clusterState = ClusterState.create(() => {});
   const alone = PermitExchange.create(clusterState, () => {}, "a");
   t.is(alone.permits.check(REQUEST, "1", 800, ISSUING_FROM).kind, "denied");
-  const [a] = createVms("gone", ["a"]);
+  const [a] = createVms("unreachable", ["a"]);
   t.is(check(a, "1", ISSUING_FROM), "asked");
   t.is(check(a, "1", ISSUING_FROM + 250), "denied");
 });
--- a/src/core/exchange/quarantine_exchange.ts
+++ b/src/core/exchange/quarantine_exchange.ts
@@ -2,43 +2,46 @@
  * Synchronizes records of requests that crash servers between VMs.
  *
  * Each VM includes its new records in its reports to the term holder until a report
- * with them is answered. The holder, which receives the records of all VMs, sends those
- * of requests that are quarantined, or close to it, to all VMs immediately. Every
- * report includes a digest of these. A VM that receives a different digest answers with
- * all of them, so that a VM that has just started or has missed updates catches up with
- * its next report. A new holder is sent all records again. None of this requires the
- * store or the authority of a term.
+ * with them is answered. The holder, which thus receives the records of all VMs, sends
+ * those of requests that are quarantined, or close to it, to all VMs immediately. Every
+ * report includes a digest of the sender's records of such requests. A VM that receives
+ * a digest other than its own answers with all of its records of such requests, so that
+ * a VM that has just started or has missed updates is up to date after its next report.
+ * After a change of the holder, each VM sends all its records again. None of this
+ * requires the store or the authority of a term.
  *
- * While the holder is silent, the VMs at the seed addresses take its place.
+ * While no message from the holder arrives, the VMs at the seed addresses take its
+ * place.
  *
  * @module
  */
 import type { CrashRecord, Quarantine } from "../quarantine/index.ts";
 import type { QuarantineUpdate } from "../peers/index.ts";
 
-/** Time without a digest from a VM after which it is sent no more updates, in
- * milliseconds: several of its reports are missing. */
+/** Time without a digest from a VM after which no more updates are sent to it, in
+ * milliseconds. Several of its reports are missing by then. */
 const PEER_TIMEOUT = 3_000;
-/** Minimum time between two answers to the same VM, in milliseconds. What it lacks may
- * still be in transit. */
+/** Minimum time between two answers to the same VM, in milliseconds. The records of the
+ * first answer may still be in transit. */
 const ANSWER_INTERVAL = 400;
-/** Minimum time between two updates to the seeds while the holder is silent, in
- * milliseconds. */
+/** Minimum time between two updates of a VM to the seeds while they take the holder's
+ * place, in milliseconds. */
 const SEED_INTERVAL = 500;
-/** The same per VM that sends such updates, so that a seed receives at most 200 of them
- * per second. */
+/** The same, in milliseconds per VM in the deployment, so that a seed receives at most
+ * 200 updates per second. The larger of the two times applies. */
 const SEED_INTERVAL_PER_VM = 5;
-/** Minimum time before an urgent report, in milliseconds per VM, so that the holder
- * receives at most 100 of them per second: many VMs see the same server crash. */
+/** Minimum time between a report and an urgent one, in milliseconds per VM in the
+ * deployment, so that the holder receives at most 100 urgent reports per second. Many
+ * VMs detect the same server crash. */
 const URGENT_INTERVAL_PER_VM = 10;
 /** Time without a message from the holder after which the seeds take its place, in
- * milliseconds: two answers are missing. */
+ * milliseconds. Two answers are missing by then. */
 const HOLDER_TIMEOUT = 1_200;
-/** Minimum time between two updates on requests that crashed a single server, in
- * milliseconds per receiving VM. Simultaneous crashes of many servers then take few
- * messages. A copy of such a request that arrives within this time can crash one more
- * server. */
-const SUSPECTS_INTERVAL_PER_VM = 2;
+/** Minimum time between two updates on requests that have crashed only one server, in
+ * milliseconds per receiving VM, so that simultaneous crashes of many servers cause few
+ * messages. A copy of such a request that arrives at another VM within this time can
+ * crash one more server. */
+const SINGLE_CRASH_INTERVAL_PER_VM = 2;
 /** Maximum number of reports that wait for an answer; older ones count as lost. */
 const MAXIMUM_PENDING = 8;
 
@@ -48,7 +51,8 @@
   update: QuarantineUpdate;
 }
 
-/** A report that has not been answered. */
+/** A report that has not been answered. `revision` is that of the local records at the
+ * time it was sent. */
 interface PendingReport {
   sentAt: number;
   revision: number;
@@ -64,10 +68,10 @@
 export class QuarantineExchange {
   readonly #peers = new Map<string, Peer>();
   #holder: string | null = null;
-  /** Revision of the local records up to which the holder has confirmed them. */
+  /** Revision of the local records up to which the holder has received them. */
   #holderRevision = 0;
   #pending: PendingReport[] = [];
-  /** Revision and digest that were last sent to the peers. */
+  /** Revision and digest of the local records when they were last sent to the peers. */
   #publishedRevision = 0;
   #publishedDigest = 0;
   #publishedAt = -Infinity;
@@ -99,13 +103,14 @@
     return now - this.#reportedAt >= URGENT_INTERVAL_PER_VM * (vmCount ?? 0);
   }
 
-  /** An update with the digest only. If its digest differs, the receiver answers with
-   * its records. */
+  /** An update with the digest only. A receiver whose digest differs answers with its
+   * records. */
   get digestUpdate(): QuarantineUpdate {
     return { digest: this.quarantine.digest, records: [] };
   }
 
-  /** Returns the quarantine part of a report to `holder` that is sent now. */
+  /** Returns the update to include in a report that is sent now to the holder at address
+   * `holder`. */
   report(holder: string, now: number): QuarantineUpdate {
     this.#follow(holder);
     const { revision } = this.quarantine;
@@ -126,7 +131,7 @@
     this.#pending = this.#pending.slice(index + 1);
   }
 
-  /** Merges another VM's update; returns the answer to it, or null if none is
+  /** Merges the update of the VM at `address`. Returns the answer, or null if none is
    * needed. */
   receive(
     address: string,
@@ -150,9 +155,9 @@
     return update.records.length === 0 ? null : { address, update };
   }
 
-  /** Returns the updates that are due: to peers, and to the seeds if the holder has
-   * been silent for `silence` milliseconds. `vmCount` is the number of VMs that update
-   * the seeds. */
+  /** Returns the updates that are due: to peers and, while they take the holder's place,
+   * to the seeds. `silence` is the time since the holder's last message in milliseconds,
+   * `vmCount` the estimated number of VMs or null. */
   advance(
     silence: number,
     vmCount: number | null,
@@ -168,7 +173,7 @@
     const { digest, revision } = this.quarantine;
     const since = this.#publishedRevision;
     if (revision === since) return [];
-    const interval = SUSPECTS_INTERVAL_PER_VM * this.#peers.size;
+    const interval = SINGLE_CRASH_INTERVAL_PER_VM * this.#peers.size;
     const isUrgent = digest !== this.#publishedDigest;
     if (!isUrgent && now - this.#publishedAt < interval) return [];
     this.#publishedRevision = revision;
@@ -199,6 +204,8 @@
     this.#pending = [];
   }
 
+  /** Returns the digest and the records that changed after revision `since`. Those that
+   * the VM at `address` is known to have are left out. */
   #createUpdate(
     since: number,
     now: number,
--- a/src/core/exchange/quarantine_exchange_test.ts
+++ b/src/core/exchange/quarantine_exchange_test.ts
@@ -6,7 +6,8 @@
   type QuarantineSend,
 } from "./quarantine_exchange.ts";
 
-const REQUEST = fingerprintOf("/ends");
+const REQUEST = fingerprintOf("/crash");
+/** Time between two reports of a follower, in milliseconds. */
 const REPORT_INTERVAL = 500;
 
 interface Vm {
@@ -21,9 +22,10 @@
   return { address, quarantine, exchange };
 }
 
-/** Records at a VM that the server incarnation `run` crashed during the request. */
-function crash({ quarantine }: Vm, run: string, now: number): void {
-  quarantine.recordCrash(REQUEST.complete, "h/ends", run, now);
+/** Records at a VM that a server process, such as `server#incarnation`, crashed while it
+ * ran the request. */
+function crash({ quarantine }: Vm, serverProcess: string, now: number): void {
+  quarantine.recordCrash(REQUEST.complete, "h/crash", serverProcess, now);
 }
 
 /** Delivers updates and the answers to them. */
@@ -40,8 +42,8 @@
   }
 }
 
-/** Delivers a report of each follower and the resulting messages. If `isLost`, the
- * reports are lost. */
+/** Delivers a report of each follower to the holder and the resulting messages. If
+ * `isLost`, the reports are not delivered. */
 function report(holder: Vm, followers: Vm[], now: number, isLost = false) {
   for (const follower of followers) {
     const update = follower.exchange.report(holder.address, now);
@@ -58,6 +60,7 @@
   deliver(holder, updates, followers, now);
 }
 
+/** Returns a test for VMs that quarantine the request at `now`. */
 const isQuarantinedAt = (now: number) => ({ quarantine }: Vm) =>
   quarantine.hold(REQUEST, now) !== null;
 
@@ -76,14 +79,14 @@
 test("quarantine exchange: lost records are sent again", (t) => {
   const holder = createVm("h");
   const followers = ["a", "b"].map((each) => createVm(each));
-  for (const run of ["s-0#1", "s-1#1", "s-2#1"]) crash(followers[0], run, 0);
+  for (const each of ["s-0#1", "s-1#1", "s-2#1"]) crash(followers[0], each, 0);
   report(holder, followers, 0, true);
   t.false(isQuarantinedAt(1_500)(followers[1]));
   report(holder, followers, REPORT_INTERVAL);
   t.true([holder, ...followers].every(isQuarantinedAt(2_000)));
 });
 
-test("quarantine exchange: a new holder gets all records, a new VM catches up on its report", (t) => {
+test("quarantine exchange: a new holder gets all records, and a new VM gets them with its first report", (t) => {
   const former = createVm("h");
   const followers = ["a", "b"].map((each) => createVm(each));
   report(former, followers, 0);
@@ -99,7 +102,7 @@
   t.true([next, ...followers, started].every(isQuarantinedAt(3_000)));
 });
 
-test("quarantine exchange: seeds replace a silent holder", (t) => {
+test("quarantine exchange: seeds take the place of a holder that sends no messages", (t) => {
   const seed = createVm("seed");
   const others = ["a", "b", "c"].map((each) => createVm(each, ["seed"]));
   others.forEach((each, i) => crash(each, `s-${i}#1`, 0));
--- a/src/core/exchange/quarantine_record.ts
+++ b/src/core/exchange/quarantine_record.ts
@@ -1,11 +1,10 @@
 /**
- * Stores the records of requests that are quarantined, or close to it, so that they
- * survive a failure of all VMs.
+ * Keeps the crash records of requests that are quarantined, or close to it, in the
+ * store, so that they survive a failure of all VMs.
  *
- * The term holder writes them when the stored ones lack such a request, which is rare.
- * Every VM reads them on startup, together with the address of the term holder. They
- * need no locking: if two holders write one after the other, the readers merge what
- * they wrote.
+ * The term holder writes all of them when the stored ones lack one, which is rare. Every
+ * VM reads them on startup, together with the address of the term holder. Writes need no
+ * locking: if two holders write one after the other, the readers merge what both wrote.
  *
  * @module
  */
@@ -21,50 +20,53 @@
   records: CrashRecord[];
 }
 
-/** See the module's comment. Times are milliseconds. */
+/** See the module's comment. Times are milliseconds of this VM's clock. */
 export class QuarantineRecord {
   /** Keys of the records known to be in the store. */
-  #recorded = new Set<string>();
-  #writing: Set<string> | null = null;
-  #dueAt = -Infinity;
-  #revision = -1;
+  #storedKeys = new Set<string>();
+  /** Keys of the records in a write that has not ended, or null. */
+  #pendingKeys: Set<string> | null = null;
+  #retryAt = -Infinity;
+  /** Revision of the quarantine that was last compared with the store. */
+  #checkedRevision = -1;
 
   private constructor(private readonly quarantine: Quarantine) {}
 
-  /** Creates a record of `quarantine`; the contents of the store are not known yet. */
+  /** Creates a record of `quarantine` that has not read the store. */
   static create(quarantine: Quarantine): QuarantineRecord {
     return new QuarantineRecord(quarantine);
   }
 
   /** Handles records read from the store. */
   read(records: readonly CrashRecord[], now: number): void {
-    this.#recorded = new Set(records.map(keyOf));
+    this.#storedKeys = new Set(records.map(keyOf));
     this.quarantine.merge(records, now);
   }
 
   /** Handles the result of a write. */
   written(hasSucceeded: boolean, now: number): void {
-    const keys = this.#writing;
-    this.#writing = null;
-    if (hasSucceeded && keys !== null) this.#recorded = keys;
-    else this.#dueAt = now + RETRY_DELAY;
-    this.#revision = -1;
+    const keys = this.#pendingKeys;
+    this.#pendingKeys = null;
+    if (hasSucceeded && keys !== null) this.#storedKeys = keys;
+    else this.#retryAt = now + RETRY_DELAY;
+    this.#checkedRevision = -1;
   }
 
-  /** Returns the write that is due on the term holder, or null. */
+  /** Returns the write that is due, or null. Called on the term holder only. */
   advance(now: number): QuarantineWrite | null {
-    if (this.#writing !== null || now < this.#dueAt) return null;
-    const { persistentRevision: recordRevision } = this.quarantine;
-    if (recordRevision === this.#revision) return null;
-    this.#revision = recordRevision;
+    if (this.#pendingKeys !== null || now < this.#retryAt) return null;
+    const { persistentRevision } = this.quarantine;
+    if (persistentRevision === this.#checkedRevision) return null;
+    this.#checkedRevision = persistentRevision;
     const records = this.quarantine.persistentRecords(now);
     const keys = records.map(keyOf);
-    if (keys.every((key) => this.#recorded.has(key))) return null;
-    this.#writing = new Set(keys);
+    if (keys.every((key) => this.#storedKeys.has(key))) return null;
+    this.#pendingKeys = new Set(keys);
     return { kind: "quarantine.write", records };
   }
 }
 
+/** Returns a key that changes with each crash and each trial of the request. */
 function keyOf({ request, round, runs }: CrashRecord): string {
   return `${request} ${round} ${runs.length}`;
 }
--- a/src/core/exchange/quarantine_record_test.ts
+++ b/src/core/exchange/quarantine_record_test.ts
@@ -3,16 +3,19 @@
 import { Quarantine } from "../quarantine/index.ts";
 import { QuarantineRecord } from "./quarantine_record.ts";
 
-const REQUEST = fingerprintOf("/ends");
-/** When a request that crashed three servers at 0 is quarantined. */
+const REQUEST = fingerprintOf("/crash");
+/** When a request that crashed three servers at time 0 is quarantined, in
+ * milliseconds. */
 const QUARANTINED_AT = 1_000;
 
+/** Creates a record of an empty quarantine. `quarantineRequest` records three crashes of
+ * a request. */
 function createRecord() {
   const quarantine = Quarantine.create();
   const record = QuarantineRecord.create(quarantine);
   const quarantineRequest = (request = REQUEST.complete) => {
-    for (const run of ["a#1", "b#1", "c#1"]) {
-      quarantine.recordCrash(request, "h/ends", run, 0);
+    for (const serverProcess of ["a#1", "b#1", "c#1"]) {
+      quarantine.recordCrash(request, "h/crash", serverProcess, 0);
     }
     quarantine.expire(QUARANTINED_AT);
   };
--- a/src/core/exchange/state_exchange.ts
+++ b/src/core/exchange/state_exchange.ts
@@ -37,7 +37,8 @@
     return new StateExchange(clusterState, store, emit, seeds);
   }
 
-  /** Sends the requests that are due. `quarantineUpdate` is their quarantine part. */
+  /** Sends the requests that are due. They include `quarantineUpdate`. `holder` is the
+   * address of the term holder, or null. */
   advance(
     quarantineUpdate: QuarantineUpdate,
     holder: string | null,
@@ -82,9 +83,9 @@
     });
   }
 
-  /** Applies another VM's state, unless the store is reachable and a configuration is
-   * known. Returns the term holder named in the state, or null if there is none or the
-   * state was ignored. */
+  /** Applies another VM's state if the store is unreachable or no configuration is known.
+   * Returns the term holder that the state names, or null if it names none or was
+   * ignored. */
   applyState(
     { state }: MessageOf<"state.told">,
     now: number,
--- a/src/core/exchange/state_publisher.ts
+++ b/src/core/exchange/state_publisher.ts
@@ -1,10 +1,10 @@
 /**
  * Publishes the term holder's state to its followers: each change of the assignments
- * and of the registry once, and to a VM that has missed changes only those.
+ * and of the registry once, and to a follower that has missed changes only those.
  *
- * Every message is multiplied by the number of followers, so nothing is sent twice
- * without need. With 90 followers, sending all assignments to each VM that was one
- * change behind when it reported took 11 Mbit/s.
+ * A message to all followers costs as many transfers as there are followers, so nothing
+ * is sent twice without need. With 90 followers, sending all assignments to each VM that
+ * was one change behind when it reported took 11 Mbit/s.
  *
  * @module
  */
@@ -28,8 +28,8 @@
 /** Time that a published change may take to reach a follower, in milliseconds. During
  * this time a report without the change is answered as if the change had arrived. */
 const PROPAGATION_TIME = 120;
-/** Maximum number of published versions to which a follower can be compared to send it
- * only the changes. Covers some seconds of a busy holder. */
+/** Maximum number of published versions that are kept. A follower with one of them gets
+ * only the changes after it. Covers some seconds of a busy holder. */
 const MAXIMUM_VERSIONS = 256;
 
 /** A published version of the assignments. */
@@ -44,18 +44,21 @@
 export class StatePublisher {
   readonly #link = HolderLink.create();
   readonly #overload: OverloadMonitor;
+  /** Term and version of the assignments that were last published. */
   #published = { term: 0, version: 0 };
   #publishedAt = -Infinity;
   /** Published versions of this term, oldest first. */
   #versions: PublishedVersion[] = [];
   /** Registry position up to which changes were published, or null. */
   #publishedPosition: number | null = null;
-  /** Version of the configuration, and when this VM first had it. */
+  /** Version of the active configuration, and when it was first seen active. */
   #configuration = { version: -1, since: -Infinity };
-  /** Pacing of all assignments, by term, and of the configuration, by version. */
+  /** Pacing of messages with all assignments, which count as the same within a term, and
+   * of those with the configuration, by its version. */
   readonly #assignmentPacing = MessagePacing.create();
   readonly #configurationPacing = MessagePacing.create();
-  /** Reports, by address, that were received while changes waited to be published. */
+  /** Last report of each follower, by address, that was received while changes were not
+   * published yet. */
   readonly #deferredReports = new Map<string, FollowerReport>();
 
   private constructor(
@@ -79,24 +82,24 @@
     return new StatePublisher(clusterState, campaign, loads, store, emit);
   }
 
-  /** Number of live VMs, including this one. */
+  /** Number of running VMs, including this one. */
   vmCount(now: number): number {
     return this.#link.vmCount(now);
   }
 
-  /** Sends the address of the new holder to those that receive store updates from this
-   * VM, if it was the holder. They would otherwise learn of it only after their timeout
-   * for messages from this VM. */
+  /** Returns messages with the address of the new holder to the followers that receive
+   * store updates from this VM, if it was the holder. They would otherwise learn of the
+   * new holder only after their timeout for messages from this VM. */
   announceSuccessor(holder: HolderAddress): PeerSend[] {
     const senderState = this.clusterState.senderState();
     return this.#link.announceSuccessor(senderState, holder);
   }
 
-  /** Publishes what has changed. */
+  /** Publishes the changes of the registry and, if it is due, of the assignments. */
   advance(holder: TermHolder, now: number): void {
     this.#publishRegistry();
     this.#overload.advance(holder, now);
-    if (!this.#isSent(holder)) this.clusterState.assign(holder.assignments);
+    if (!this.#isCurrent(holder)) this.clusterState.assign(holder.assignments);
     const isDue = now >= this.#publishedAt + this.#link.publishInterval;
     if (isDue) this.#publish(holder, now);
   }
@@ -126,12 +129,13 @@
       ),
     );
     this.#sendConfiguration(address, report, now);
-    if (this.#isSent(holder)) this.#catchUp(holder, address, report, now);
+    if (this.#isCurrent(holder)) this.#catchUp(holder, address, report, now);
     else this.#deferredReports.set(address, report);
   }
 
-  /** Records a follower's latencies of servers whose current incarnation it knows. Its
-   * registry position shows whether it may have measured an older one. */
+  /** Records the latencies that a follower measured, except of servers that have restarted
+   * since the registry position that the follower has reached: it may have measured the
+   * previous process. */
   #recordLatencies({ latencies, position }: FollowerReport, now: number): void {
     const { fleet, registry } = this.clusterState;
     const isOfSameIncarnation = ({ server }: ServerSamples) =>
@@ -139,10 +143,10 @@
     fleet.addPeerSamples(latencies.filter(isOfSameIncarnation), now);
   }
 
-  /** Sends a follower the configuration if it lacks it. A follower that receives store
-   * updates from this VM gets it immediately. Any other one gets it after the time in
-   * which its own long poll would have delivered it, because the response to the poll
-   * may have been lost. */
+  /** Sends a follower the configuration if it lacks it: immediately if the follower
+   * receives store updates from this VM, and otherwise after the time in which the
+   * follower's own long poll should have returned it. The response to the poll may have
+   * been lost. */
   #sendConfiguration(
     address: string,
     report: FollowerReport,
@@ -164,7 +168,8 @@
     );
   }
 
-  /** Sends a follower the changes that it lacks, if any. */
+  /** Sends a follower the assignments or the changes that it lacks, unless they may
+   * still be in transit. */
   #catchUp(
     holder: TermHolder,
     address: string,
@@ -203,13 +208,15 @@
     this.emit(this.#link.sendAssignments(address, this.#snapshot(holder, now)));
   }
 
-  /** Whether the newest assignments of the holder have been published. */
-  #isSent({ term, version }: TermHolder): boolean {
+  /** Whether the published assignments are the holder's current ones. */
+  #isCurrent({ term, version }: TermHolder): boolean {
     return term === this.#published.term && version === this.#published.version;
   }
 
+  /** Publishes the holder's assignments if they have changed, and then sends
+   * the senders of the deferred reports what they lack. */
   #publish(holder: TermHolder, now: number): void {
-    if (this.#isSent(holder)) return;
+    if (this.#isCurrent(holder)) return;
     const { term, version } = holder;
     const isNewTerm = term !== this.#published.term;
     const last = isNewTerm ? undefined : this.#versions.at(-1);
@@ -260,8 +267,9 @@
   ): RegistryUpdate | null {
     const { registry } = this.clusterState;
     if (position === null) return null;
-    // When the registry data was current, on the follower's clock. Its age is
-    // subtracted from when the follower sent the report, since messages can be delayed.
+    // The time at which the registry data was current, on the follower's clock. The
+    // age of the data counts from when the follower sent the report, since the report
+    // and the answer can be delayed.
     return registry.updateSince(position, sentAt - (now - registry.knownAt));
   }
 
--- a/src/core/exchange/state_publisher_test.ts
+++ b/src/core/exchange/state_publisher_test.ts
@@ -37,6 +37,8 @@
     StoreHealth.create(),
     (...some) => effects.push(...some),
   );
+  /** Returns a report of a follower that has `version` of the assignments; 0 if it has
+   * none. */
   const report = (version: number): FollowerReport => ({
     kind: "keys.asked",
     term: version === 0 ? 0 : 1,
@@ -71,7 +73,7 @@
   return { clusterState, publisher, holder, report, sent, advanceHolder };
 }
 
-test("state publisher: a new follower gets all assignments, a current one nothing twice", (t) => {
+test("state publisher: a new follower gets all assignments, and one that is up to date gets nothing", (t) => {
   const { publisher, holder, report, sent, advanceHolder } = createPublisher();
   advanceHolder(0);
   publisher.advance(holder, 0);
@@ -165,9 +167,8 @@
  * Guards against saturating the holder's link with repeated assignments. After a
  * restart of all 72 VMs, every report was answered with all assignments, about 10 kB.
  * Reports every 500 ms took at least 6 Mbit/s of the holder's 10 Mbit/s, urgent reports
- * several times that. Orders to servers timed out, followers received nothing, and
- * small VMs took over the term for 2 s each. The repeats were not shown to be the only
- * cause.
+ * several times that. Orders to servers timed out, followers received nothing, and VMs
+ * of low fitness held the term for 2 s each. There may have been further causes.
  */
 test("state publisher: all assignments are repeated to a follower only after a delay", (t) => {
   const { publisher, holder, report, sent, advanceHolder } = createPublisher();
@@ -222,9 +223,9 @@
   t.true(sent().length >= 90);
 });
 
-// Guards against sending the configuration again with every report of a follower behind
-// a slow link, before it has arrived. This kept the link full and delayed the holder's
-// answers until the follower considered the holder lost.
+// Guards against sending the configuration again after every report of a follower with a
+// slow link before the first copy has arrived. The copies kept the link full and delayed
+// the holder's answers until the follower assumed that the holder had failed.
 test("state publisher: a configuration in transit is not sent again", (t) => {
   const { clusterState, publisher, holder, report, sent } = createPublisher();
   clusterState.configure(emptyConfiguration(2));
--- a/src/core/exchange/token_exchange.ts
+++ b/src/core/exchange/token_exchange.ts
@@ -1,5 +1,6 @@
 /**
- * Messages by which VMs request tokens for rate-limited servers from the term holder.
+ * Exchanges the messages by which VMs request tokens for rate-limited servers from the
+ * term holder.
  *
  * @module
  */
@@ -8,7 +9,7 @@
 import type { MessageOf } from "../peers/index.ts";
 import { RateTokens, type TokenAnswer, TokenBuckets } from "../rates/index.ts";
 
-/** Messages of this exchange. */
+/** Messages that request, grant or deny tokens. */
 export type TokenMessage =
   | MessageOf<"token.asked">
   | MessageOf<"token.told">;
@@ -38,7 +39,8 @@
     );
   }
 
-  /** Creates the exchange of the VM at `ownAddress`. */
+  /** Creates the exchange of the VM at `ownAddress`. `vmCount` returns the estimated
+   * number of VMs or null, and `draw` a random number in [0, 1). */
   static create(
     clusterState: ClusterState,
     emit: Emit,
@@ -49,7 +51,8 @@
     return new TokenExchange(clusterState, emit, ownAddress, vmCount, draw);
   }
 
-  /** Makes the VM at address `holder` the term holder. */
+  /** Uses the VM at address `holder` as the term holder from now on. If it is this VM, it
+   * hands out tokens. */
   follow(holder: string, now: number): void {
     this.#hasTokenSupport = false;
     if (holder === this.ownAddress) this.#buckets.begin(now);
@@ -111,6 +114,7 @@
     return null;
   }
 
+  /** The server's rate limit in requests per second, or null if it has none. */
   #limit(server: string, now: number): number | null {
     return this.clusterState.fleet.get(server)?.rateLimit.current(now) ?? null;
   }
--- a/src/core/exchange/token_exchange_test.ts
+++ b/src/core/exchange/token_exchange_test.ts
@@ -10,7 +10,7 @@
 
 /** Time between two tokens of the server, in milliseconds. */
 const TOKEN_INTERVAL = 200;
-/** When the buckets, which start empty at 0, are full. */
+/** When the buckets, which are empty at time 0, are full, in milliseconds. */
 const FULL_AT = 2_000;
 
 /** Creates VMs that follow the holder `h` from time 0 and know a server that is limited
@@ -74,7 +74,7 @@
 
 // Guards against a holder of an older version closing the connection on a message of
 // unknown kind.
-test("token exchange: a holder without token support is not asked", (t) => {
+test("token exchange: no token is requested from a holder without token support", (t) => {
   const [a] = createVms(["a"]);
   a.exchange.holderAnswered(false);
   t.not(a.check(FULL_AT), "asked");
--- a/src/core/peers/compact_assignment.ts
+++ b/src/core/peers/compact_assignment.ts
@@ -6,10 +6,11 @@
 import type { Assignment } from "../keyspace/index.ts";
 import type { CompactAssignment } from "./peer_message.ts";
 
-/** Index of a range that is assigned to no server. */
+/** Server index of a range that is assigned to no server. */
 const NO_SERVER = -1;
 
-/** Returns the compact form of an assignment. */
+/** Returns the compact form of an assignment. The term and the version, which the
+ * message has anyway, are left out. */
 export function compactAssignment(assignment: Assignment): CompactAssignment {
   const servers: CompactAssignment["servers"] = [];
   const indexes = new Map<string, number>();
@@ -28,7 +29,8 @@
   return { service: assignment.service, servers, ranges };
 }
 
-/** Restores an assignment from its compact form. */
+/** Restores an assignment from its compact form and the term and version of the message
+ * that contained it. */
 export function expandAssignment(
   { service, servers, ranges }: CompactAssignment,
   term: number,
--- a/src/core/peers/follower_link.ts
+++ b/src/core/peers/follower_link.ts
@@ -1,42 +1,43 @@
 /**
- * The connection of a VM that does not hold the term to the VM that does.
+ * A follower's side of the communication with the term holder.
  *
- * The follower sends the term holder regular reports on the keys requested from it and
- * receives every change of the key assignments as soon as it is made. If it detects
- * that it missed a change it sends a report immediately and repeats it until it is
- * answered, because a connection can fail without an error. While the holder does not
- * answer, the follower requests the assignments recorded in the store instead.
+ * The follower regularly reports to the holder which keys its callers request, and
+ * receives each change of the key assignments when it is made. When its state appears
+ * out of date, it sends a report early and repeats it until it is answered, because a
+ * connection can fail without an error. While the holder does not answer, the follower
+ * reads the assignments from the store instead.
  *
  * @module
  */
 import type { ServerRateLimit, ServerSamples } from "../fleet/index.ts";
 import type { FollowerReport, PeerSend, SenderState } from "./peer_message.ts";
 
-/** Time between two reports, in milliseconds. It limits how soon a busy key is noticed
- * and how old the registry data received from the holder can be. With half of it, busy
- * keys moved no sooner, and the reports took a tenth of an idle VM's processor time. */
+/** Time between two reports, in milliseconds. It limits how soon the holder detects a
+ * busy key and how old the registry data received from the holder can be. With half of
+ * this interval, busy keys moved no sooner, and the reports took a tenth of an idle VM's
+ * processor time. */
 const REPORT_INTERVAL = 500;
-/** Initial time between two reports while local state appears out of date, in
- * milliseconds. Doubles with each unanswered report. */
+/** Initial time between two reports while this VM's state appears out of date, in
+ * milliseconds. It doubles with each unanswered report, up to the regular interval. */
 const URGENT_REPORT_INTERVAL = 60;
-/** Number of first reports that a new holder can answer immediately. */
+/** Number of VMs from which a new holder can answer the first reports at once. */
 const IMMEDIATE_REPORTS = 20;
-/** Time over which the first reports of all further VMs are spread, in milliseconds per
- * VM. The holder accepts connections one at a time and answers each first report with
- * all assignments. */
+/** Time over which the first reports to a new holder are spread, in milliseconds per VM
+ * beyond that number. The holder accepts connections one at a time and answers each
+ * first report with all assignments. */
 const REPORT_SPREAD_PER_VM = 3;
 /** Time without a message from the holder after which the assignments are fetched from
  * the store, in milliseconds. */
 const HOLDER_TIMEOUT = 1_600;
 /** The same for a process that has never received a message from any holder. After a
- * failure of all VMs the announced holder no longer exists, and the store has the last
- * assignments. */
+ * failure of all VMs, the holder named in the store no longer runs, and only the store
+ * has the last assignments. */
 const FIRST_CONTACT_TIMEOUT = 60;
 /** Minimum time between two fetches from the store, in milliseconds. Reads are
  * billed. */
 const FETCH_INTERVAL = 1_000;
-/** Maximum age of the holder's view of the store with which this VM does without its
- * own calls to the store, in milliseconds. The age consists of the time since the last
+/** Maximum age of the store data received from the holder with which this VM makes no
+ * store calls of its own, in milliseconds. The age consists of the time since the last
  * answered report, up to half a second, and the time since the holder's last answered
  * store call. If the holder loses the store, this VM calls it after this time, which
  * leaves a second to apply a configuration that must be in force within 2.5 s. */
@@ -45,7 +46,8 @@
  * sample more accurate. */
 const MAXIMUM_SAMPLED_KEYS = 128;
 
-/** Requests the assignments recorded in the store. */
+/** Effect that reads the assignments from the store. The result is the event
+ * `assignments.read`. */
 export interface AssignmentFetch {
   kind: "assignments.fetch";
 }
@@ -61,19 +63,21 @@
 /** See the module's comment. Times are milliseconds of this VM's clock. */
 export class FollowerLink {
   #holder: string | null = null;
+  /** When a holder's last message was received. */
   #receivedAt = -Infinity;
-  /** Latest time at which the holder is known to have been in contact with the
-   * store. */
+  /** Latest time at which the holder is known to have reached the store. */
   #storeContactAt = -Infinity;
   #followedSince = -Infinity;
   #reportedAt = -Infinity;
   #fetchedAt = -Infinity;
   #urgentReport: UrgentReport | null = null;
+  /** Keys requested since the last report, by service. */
   readonly #samples = new Map<string, number[]>();
 
   private constructor(private readonly fitness: number) {}
 
-  /** Creates a link without a holder. `fitness` is that of this VM. */
+  /** Creates a link without a holder. `fitness` is this VM's fitness to hold the
+   * term. */
   static create(fitness: number): FollowerLink {
     return new FollowerLink(fitness);
   }
@@ -89,8 +93,8 @@
   }
 
   /** Follows a new term holder; `address` is null if it is this VM. All VMs learn of a
-   * new holder at the same time, so `chance`, in [0, 1), spreads their first reports
-   * and, with them, all later ones. */
+   * new holder at the same time, so each delays its first report by the share `chance`,
+   * a random number in [0, 1), of the spread. All later reports are spread with it. */
   follow(
     address: string | null,
     vmCount: number | null,
@@ -110,7 +114,7 @@
     this.#receivedAt = now;
   }
 
-  /** Makes the next report due soon because local state appears out of date. */
+  /** Makes the next report due early because this VM's state appears out of date. */
   expedite(): void {
     this.#urgentReport ??= {
       sentAt: Infinity,
@@ -118,16 +122,15 @@
     };
   }
 
-  /** Whether the holder's view of the store is recent enough to replace this VM's own
-   * calls to the store. */
+  /** Whether the store data received from the holder is recent enough to replace this
+   * VM's own calls to the store. */
   isStoreStateCurrent(now: number): boolean {
     return this.#holder !== null &&
       now - this.#storeContactAt <= MAXIMUM_STORE_AGE;
   }
 
   /** Records the holder's answer to the report sent at `sentAt`. `storeContactAt` is
-   * the latest time at which the holder is known to have been in contact with the
-   * store. Both are times of this VM's clock. */
+   * the latest time at which the holder is known to have reached the store. */
   reportAnswered(sentAt: number, storeContactAt: number): void {
     this.#storeContactAt = Math.max(this.#storeContactAt, storeContactAt);
     if (this.#urgentReport !== null && sentAt >= this.#urgentReport.sentAt) {
@@ -159,9 +162,10 @@
   }
 
   /**
-   * Returns the effects that are due. `position` is the registry position known here.
-   * `latencies` and `rates` are the latencies and the rate limits collected since the
-   * last report. `mayFetch` is true if assignments are needed and the store answers.
+   * Returns the effects that are due. `position` is the registry position that this VM
+   * has reached, or null. `latencies` and `rates` are the servers' response times and
+   * rate limits collected since the last report. `mayFetch` is true if assignments are
+   * needed and the store answers.
    * `hasHolderUpdates` is true while this VM receives store updates from the holder.
    */
   advance(
@@ -177,8 +181,8 @@
     if (this.#holder !== null && this.isReportDue(now)) {
       this.#recordReport(now);
       const report = this.#createReport(senderState, position, latencies, now);
-      const statedRates = rates.length > 0 ? { rates: [...rates] } : {};
-      const message = { ...report, isTold: hasHolderUpdates, ...statedRates };
+      const reportedRates = rates.length > 0 ? { rates: [...rates] } : {};
+      const message = { ...report, isTold: hasHolderUpdates, ...reportedRates };
       effects.push({ kind: "peer.send", address: this.#holder, message });
     }
     const isFetchDue = now - this.#fetchedAt >= FETCH_INTERVAL;
--- a/src/core/peers/holder_link.ts
+++ b/src/core/peers/holder_link.ts
@@ -1,5 +1,6 @@
 /**
- * The term holder's messages to its followers.
+ * The term holder's side of the communication with its followers: tracks the followers
+ * and creates the messages to them.
  *
  * @module
  */
@@ -17,22 +18,22 @@
 } from "./peer_message.ts";
 import { compactAssignment } from "./compact_assignment.ts";
 
-/** Time without a report after which a follower counts as stopped, in milliseconds:
- * several reports are missing. */
+/** Time without a report after which a follower counts as stopped, in milliseconds.
+ * Several reports are missing by then. */
 const FOLLOWER_TIMEOUT = 3_000;
 
 /** Maximum number of messages with changes per millisecond, over all followers. With
- * 10 followers the holder can publish every 7 ms, with 73 every 49 ms. Requests for
- * moving keys wait for 110 ms or more. */
+ * 10 followers the holder can publish every 7 ms, with 73 every 49 ms. Both are short
+ * compared with the 110 ms or more that requests for moving keys wait. */
 const MAXIMUM_MESSAGE_RATE = 1.5;
 
-/** All assignments of the holder's term. */
+/** All assignments of the holder's term, with the state that goes into the message. */
 export interface AssignmentSnapshot {
   holderState: HolderState;
   assignments: readonly Assignment[];
 }
 
-/** Servers that cannot handle all requests meant for them. */
+/** Limits and load of servers that receive more requests than they can handle. */
 export interface OverloadState {
   limits: readonly KeyLimit[];
   loads: readonly ServerLoad[];
@@ -48,6 +49,7 @@
 
 /** See the module's comment. Times are milliseconds of this VM's clock. */
 export class HolderLink {
+  /** When each follower last reported, by address. */
   readonly #reportedAt = new Map<string, number>();
   /** Followers that receive store updates from this VM instead of the store. */
   readonly #updateReceivers = new Set<string>();
@@ -88,15 +90,15 @@
   }
 
   /**
-   * Minimum time between two publications, in milliseconds. Keeps the messages to many
-   * followers within what the holder's VM can send.
+   * Minimum time between two publications, in milliseconds. It increases with the number
+   * of followers, because a VM can send only a limited number of messages.
    */
   get publishInterval(): number {
     return this.#reportedAt.size / MAXIMUM_MESSAGE_RATE;
   }
 
-  /** Answers the report that a follower sent at `answersTo` by its own clock, with
-   * registry changes and the servers that are overloaded. */
+  /** Returns the answer to the report that a follower sent at `answersTo` by its own
+   * clock. It contains registry changes and the state of overloaded servers. */
   answerReport(
     address: string,
     holderState: HolderState,
@@ -116,7 +118,7 @@
     return { kind: "peer.send", address, message };
   }
 
-  /** Sends a follower the configuration in force. */
+  /** Returns a message with the active configuration to a follower. */
   sendConfiguration(
     address: string,
     senderState: SenderState,
@@ -133,35 +135,39 @@
     return { kind: "peer.send", address, message };
   }
 
-  /** Sends a follower all assignments. */
+  /** Returns a message with all assignments to a follower. */
   sendAssignments(address: string, snapshot: AssignmentSnapshot): PeerSend {
-    return { kind: "peer.send", address, message: assignmentsTold(snapshot) };
+    return {
+      kind: "peer.send",
+      address,
+      message: createSnapshotMessage(snapshot),
+    };
   }
 
-  /** Sends a follower the changes that it missed. */
+  /** Returns a message with the changes that a follower missed. */
   sendChanges(
     address: string,
     holderState: HolderState,
     changes: AssignmentChanges,
   ): PeerSend {
-    const message = assignmentsChanged(holderState, changes);
+    const message = createChangeMessage(holderState, changes);
     return { kind: "peer.send", address, message };
   }
 
-  /** Sends all assignments to all followers. */
+  /** Returns messages with all assignments to all followers. */
   publishAssignments(snapshot: AssignmentSnapshot): PeerSend[] {
-    return this.#sendToAll(assignmentsTold(snapshot));
+    return this.#sendToAll(createSnapshotMessage(snapshot));
   }
 
-  /** Sends changes of the assignments to all followers. */
+  /** Returns messages with changes of the assignments to all followers. */
   publishChanges(
     holderState: HolderState,
     changes: AssignmentChanges,
   ): PeerSend[] {
-    return this.#sendToAll(assignmentsChanged(holderState, changes));
+    return this.#sendToAll(createChangeMessage(holderState, changes));
   }
 
-  /** Sends changes of the registry to all followers. */
+  /** Returns messages with changes of the registry to all followers. */
   publishRegistry(
     senderState: SenderState,
     registry: RegistryUpdate,
@@ -169,8 +175,8 @@
     return this.#sendToAll({ kind: "servers.told", ...senderState, registry });
   }
 
-  /** Sends the address of the new term holder to the followers that receive store
-   * updates from this VM, and forgets all followers. */
+  /** Returns messages with the address of the new term holder to the followers that
+   * receive store updates from this VM, and removes all followers. */
   announceSuccessor(
     senderState: SenderState,
     holder: HolderAddress,
@@ -196,7 +202,7 @@
   }
 }
 
-function assignmentsTold(
+function createSnapshotMessage(
   { holderState, assignments }: AssignmentSnapshot,
 ): PeerMessage {
   return {
@@ -206,7 +212,7 @@
   };
 }
 
-function assignmentsChanged(
+function createChangeMessage(
   holderState: HolderState,
   { since, assignments }: AssignmentChanges,
 ): PeerMessage {
--- a/src/core/peers/message_pacing.ts
+++ b/src/core/peers/message_pacing.ts
@@ -1,9 +1,9 @@
 /**
- * Limits how often large messages are repeated to followers. While a message is in
- * transit, delayed by a slow link or a busy holder, it is not sent again for every
- * report of a follower that still lacks it. Copies would keep the link full, and the
- * follower would conclude that the holder has failed, because the holder's answers
- * queue behind them.
+ * Limits how often the term holder repeats large messages to a follower. A message that
+ * a slow link or a busy holder delays is not sent again for every report that the
+ * follower sends before the message arrives. The copies would keep the link full, and
+ * the holder's answers would queue behind them until the follower assumes that the
+ * holder has failed.
  *
  * @module
  */
@@ -12,10 +12,11 @@
  * milliseconds. This is how long a failed connection delays a follower. */
 const RESEND_DELAY = 900;
 
+/** The last message sent to a follower. */
 interface SentMessage {
   version: number;
   sentAt: number;
-  /** When the follower sent the answered report, by its own clock. */
+  /** When the follower sent the report that caused the message, by its own clock. */
   reportSentAt: number;
 }
 
--- a/src/core/peers/peer_message.ts
+++ b/src/core/peers/peer_message.ts
@@ -1,5 +1,6 @@
 /**
- * Messages between the router processes of different VMs.
+ * Messages between the router processes of different VMs. VMs of older versions exchange
+ * them too, so kinds and properties keep their names.
  *
  * @module
  */
@@ -24,7 +25,7 @@
 /** Maximum number of crash records in one message. */
 const MAXIMUM_RECORDS = 256;
 
-/** What a VM knows of requests that ended servers. */
+/** Crash records of a VM: the requests that crashed servers. */
 const quarantineUpdateSchema = z.object({
   /** Digest of the sender's records that all VMs should have, or null if the receiver
    * need not compare it with its own. */
@@ -37,23 +38,24 @@
 
 /** Part of the sender's state that all messages include. */
 const senderStateSchema = z.object({
-  /** Newest assignments: the term and the number of the change within it. */
+  /** Newest assignments that the sender has: their term, and their version, which counts
+   * the changes within the term. */
   term: count,
   version: count,
-  /** Version of the configuration in force, or -1 if there is none. */
+  /** Version of the sender's active configuration, or -1 if there is none. */
   configuration: z.number().int(),
-  /** Evacuated availability zones. Absent while nothing is known of them, and in
+  /** Evacuated availability zones. Absent while the sender does not know them, and in
    * messages of older versions. */
   evacuation: evacuationSnapshotSchema.optional(),
-  /** Included in reports, in answers to them and in messages that are sent for its
-   * sake. Older versions omit and ignore it. */
+  /** Included in reports, in requests for state and in messages whose only purpose is
+   * to transfer it. Older versions omit and ignore it. */
   quarantine: quarantineUpdateSchema.optional(),
 });
 
 /** See {@linkcode senderStateSchema}. */
 export type SenderState = z.infer<typeof senderStateSchema>;
 
-/** The holder of a term, its address and fitness. */
+/** The holder of a term: its VM, the address of the VM's process, and its fitness. */
 const holderAddressSchema = z.object({
   term: count,
   vm: z.string(),
@@ -65,14 +67,15 @@
 /** See {@linkcode holderAddressSchema}. */
 export type HolderAddress = z.infer<typeof holderAddressSchema>;
 
-/** State that the term holder's messages to its followers include in addition. */
+/** State that most messages of the term holder to its followers include in addition. */
 const holderStateSchema = senderStateSchema.extend({
   /** Number of VMs from which the holder receives reports, plus one for itself. */
   vms: count,
   /** Fitness of the fittest VM that the holder knows of, including itself. */
   fittest: z.number().nonnegative(),
-  /** Milliseconds since the holder sent its last store call that was answered: the
-   * maximum age of its view of the store. Absent in messages of older versions. */
+  /** Milliseconds since the holder sent its last store call that was answered, which is
+   * the maximum age of its copy of the store's data. Absent in messages of older
+   * versions. */
   storeSilence: z.number().nonnegative().optional(),
 });
 
@@ -96,7 +99,7 @@
 
 /** Load that a server reported some time ago. */
 const reportedLoadSchema = z.object({
-  /** Number of requests that the server had. */
+  /** Number of requests that were in progress or queued at the server. */
   requests: count,
   /** Milliseconds since the server reported it. */
   age: z.number().nonnegative(),
@@ -105,15 +108,15 @@
 /** Maximum number of servers whose rate limits one message carries. */
 export const MAXIMUM_RATES = 256;
 
-/** Rate limits reported by servers. Absent in messages of older versions. A holder that
- * includes them, even if empty, supports token requests. */
+/** Rate limits reported by servers. Absent in messages of older versions. If a holder's
+ * message includes the list, even an empty one, the holder supports token requests. */
 const ratesSchema = z.array(
   rateLimitReportSchema.extend({ server: z.string() }),
 )
   .max(MAXIMUM_RATES).optional();
 
 /** A follower's report to the term holder on the keys that were requested recently. */
-const keysAskedSchema = senderStateSchema.extend({
+const followerReportSchema = senderStateSchema.extend({
   kind: z.literal("keys.asked"),
   samples: z.array(z.object({ service: z.string(), keys: z.array(count) })),
   /** Response times of the servers that hold keys since the last report: the mean in
@@ -123,7 +126,7 @@
       server: z.string(),
       mean: z.number(),
       count,
-      /** The load that the server reported with the last of them. */
+      /** The load that the server reported with the last of these responses. */
       load: reportedLoadSchema.optional(),
     }),
   ),
@@ -139,8 +142,8 @@
   rates: ratesSchema,
 });
 
-/** See {@linkcode keysAskedSchema}. */
-export type FollowerReport = z.infer<typeof keysAskedSchema>;
+/** See {@linkcode followerReportSchema}. */
+export type FollowerReport = z.infer<typeof followerReportSchema>;
 
 /** The holder's answer to a follower's report. */
 const holderAliveSchema = holderStateSchema.extend({
@@ -172,13 +175,14 @@
   registry: registryUpdateSchema,
 });
 
-/** Sent by the holder with all assignments. */
+/** Sent by the holder with all assignments, at the start of its term and to followers
+ * that lack more than recent changes. */
 const assignmentsToldSchema = holderStateSchema.extend({
   kind: z.literal("assignments.told"),
   assignments: z.array(compactAssignmentSchema),
 });
 
-/** Sent by the holder with the configuration in force to a follower that lacks it. */
+/** Sent by the holder with the active configuration to a follower that lacks it. */
 const configurationToldSchema = senderStateSchema.extend({
   kind: z.literal("configuration.told"),
   told: configurationSchema,
@@ -186,13 +190,13 @@
 
 /** Names the current term holder. A former holder sends it to its followers when it has
  * a successor. A holder that has lost its authority but has no successor names itself,
- * to show that it is still running. */
+ * to show that it is still running. It is also sent to transfer a quarantine update. */
 const holderChangedSchema = senderStateSchema.extend({
   kind: z.literal("holder.changed"),
   holder: holderAddressSchema,
 });
 
-/** Sent by a process that cannot reach the store to request another VM's state. */
+/** Requests another VM's state for a process that cannot reach the store. */
 const stateWantedSchema = senderStateSchema.extend({
   kind: z.literal("state.wanted"),
   /** Whether the answer may omit what the sender already has. Older versions need the
@@ -230,41 +234,42 @@
 const MAXIMUM_FINGERPRINT_LENGTH = 64;
 
 const permitMessageSchema = senderStateSchema.extend({
-  /** Full fingerprint of a request that ended servers. */
+  /** Complete fingerprint of a request that crashed servers. */
   request: z.string().max(MAXIMUM_FINGERPRINT_LENGTH),
 });
 
-/** Asks the term holder for a permit to run one copy of a request. */
+/** Requests a permit to run one copy of a request from the term holder. */
 const permitAskedSchema = permitMessageSchema.extend({
   kind: z.literal("permit.asked"),
   /** How long the copy may run, in milliseconds. */
   duration: z.number().nonnegative(),
 });
 
-/** The holder grants or denies a permit. */
+/** The holder's answer, which grants or denies a permit. */
 const permitToldSchema = permitMessageSchema.extend({
   kind: z.literal("permit.told"),
   ...permitAnswerSchema.shape,
 });
 
-/** Returns a permit that is no longer needed. */
+/** Releases a permit that is no longer needed. */
 const permitReturnedSchema = permitMessageSchema.extend({
   kind: z.literal("permit.returned"),
-  /** Whether the server that ran the copy ended. */
+  /** Whether the server crashed while it ran the copy. */
   hasEnded: z.boolean(),
 });
 
-/** Asks the term holder for a token for a rate-limited server. */
+/** Requests a token for a rate-limited server from the term holder. */
 const tokenAskedSchema = senderStateSchema.extend({
   kind: z.literal("token.asked"),
   server: z.string(),
-  /** The limit known to the sender. */
+  /** The server's rate limit as the sender knows it. */
   requestsPerSecond: z.number().positive(),
-  /** Whether no route to the service has a more urgent priority than the request's. */
+  /** Whether no other route to the server's service has a more urgent priority than the
+   * route of the request. */
   isUrgent: z.boolean(),
 });
 
-/** The holder grants or denies a token. */
+/** The holder's answer, which grants or denies a token. */
 const tokenToldSchema = senderStateSchema.extend({
   kind: z.literal("token.told"),
   server: z.string(),
@@ -273,7 +278,7 @@
 
 /** Schema of {@linkcode PeerMessage}. */
 export const peerMessageSchema = z.discriminatedUnion("kind", [
-  keysAskedSchema,
+  followerReportSchema,
   holderAliveSchema,
   assignmentsToldSchema,
   assignmentsChangedSchema,
--- a/src/core/peers/state_request.ts
+++ b/src/core/peers/state_request.ts
@@ -1,6 +1,7 @@
 /**
- * Requests state from other VMs while the store is unreachable: a process that has just
- * started has no configuration, and one without the store falls behind.
+ * Requests state from other VMs while the store is unreachable. A process that has just
+ * started needs a configuration, and any other one needs the changes that it cannot read
+ * from the store.
  *
  * @module
  */
@@ -10,9 +11,10 @@
   SenderState,
 } from "./peer_message.ts";
 
-/** Time between two rounds of requests, in milliseconds. A process cannot serve
- * requests until it has a configuration; one that only falls behind can wait longer. */
+/** Time between two rounds of requests while this process has no configuration and so
+ * cannot serve callers, in milliseconds. */
 const STARTUP_INTERVAL = 400;
+/** The same for a process that has a configuration and lacks only changes. */
 const CATCH_UP_INTERVAL = 1_500;
 
 /** See the module's comment. Times are milliseconds of this VM's clock. */
@@ -21,16 +23,16 @@
 
   private constructor(private readonly seeds: readonly string[]) {}
 
-  /** Creates a request that is sent to the term holder and, on startup, to the VMs at
-   * `seeds`. */
+  /** Creates a request that is sent to the term holder and, while no configuration is
+   * known, to the VMs at the addresses `seeds`. */
   static create(seeds: readonly string[]): StateRequest {
     return new StateRequest(seeds);
   }
 
   /**
-   * Returns the requests that are due. `isStarting` is true while no configuration is
-   * known, `isStoreLost` while the store is unreachable. `quarantineUpdate` is the
-   * quarantine part of the requests.
+   * Returns the requests that are due. `senderState` and `quarantineUpdate` are included
+   * in them. `holder` is the address of the term holder, or null. `isStarting` is true
+   * while no configuration is known, `isStoreLost` while the store is unreachable.
    */
   advance(
     now: number,
--- a/src/core/peers/vm_count.ts
+++ b/src/core/peers/vm_count.ts
@@ -1,8 +1,8 @@
 /**
- * Estimates the number of VMs among which servers and the retry budget are shared. A
- * new term holder has received reports from few VMs at first, and with too low a count
- * every VM would use too large a share. The estimate is therefore the largest recent
- * count.
+ * Estimates the number of VMs that share the capacity of the servers and the retry
+ * budget. A new term holder has received reports from few VMs at first, and with too low
+ * a count every VM would use too large a share. The estimate is therefore the largest
+ * recent count.
  *
  * @module
  */
@@ -15,12 +15,12 @@
 export class VmCount {
   #largest: number | null = null;
   #largestAt = -Infinity;
-  /** Largest count observed since the estimate was last confirmed. */
-  #candidate: { count: number; at: number } | null = null;
+  /** Largest count since the estimate was last observed; the estimate falls to it. */
+  #replacement: { count: number; at: number } | null = null;
 
   private constructor() {}
 
-  /** Creates an estimate that is not known yet. */
+  /** Creates an estimate without observations. */
   static create(): VmCount {
     return new VmCount();
   }
@@ -30,20 +30,20 @@
     return this.#largest;
   }
 
-  /** Records a VM's count of the live VMs. */
+  /** Records a count of the running VMs that this VM or the term holder has made. */
   observe(count: number, now: number): void {
     if (this.#largest === null || count >= this.#largest) {
       this.#largest = count;
       this.#largestAt = now;
-      this.#candidate = null;
+      this.#replacement = null;
       return;
     }
-    if (this.#candidate === null || count > this.#candidate.count) {
-      this.#candidate = { count, at: now };
+    if (this.#replacement === null || count > this.#replacement.count) {
+      this.#replacement = { count, at: now };
     }
     if (now - this.#largestAt < RETENTION_TIME) return;
-    this.#largest = this.#candidate.count;
-    this.#largestAt = this.#candidate.at;
-    this.#candidate = null;
+    this.#largest = this.#replacement.count;
+    this.#largestAt = this.#replacement.at;
+    this.#replacement = null;
   }
 }
--- a/src/core/peers/vm_count_test.ts
+++ b/src/core/peers/vm_count_test.ts
@@ -12,7 +12,7 @@
   t.is(vms.value, 11);
 });
 
-test("VM count: it falls after VMs have been gone for a whole window", (t) => {
+test("VM count: it falls once all counts of a whole window are lower", (t) => {
   const vms = VmCount.create();
   vms.observe(11, 0);
   for (let now = 500; now < 10_000; now += 500) {
