--- a/src/core/entry.ts
+++ b/src/core/entry.ts
@@ -1,8 +1,10 @@
 /**
- * The reducer of an entry process: each event returns the effects to carry out.
+ * The core of an entry process, which is the router's process on a VM. It performs no
+ * input or output: it processes one event at a time, and returns the effects that the
+ * runtime is to carry out.
  *
- * It reads no clock, and its random numbers depend on nothing but its seed, so the
- * same code runs over sockets and under virtual time.
+ * It reads no clock, and its random numbers depend on nothing but its seed, so the same
+ * code runs over sockets and, in simulations, under virtual time.
  *
  * @module
  */
@@ -22,12 +24,13 @@
 import { Shutdown } from "./shutdown.ts";
 import { StoreHealth } from "./store_health.ts";
 
-/** Maximum time between two steps while this VM holds the term, in milliseconds. */
+/** Maximum time between two steps while this VM holds the term or has been elected, in
+ * milliseconds. */
 const HOLDER_INTERVAL = 50;
-/** The same while further orders are due, in milliseconds: between two steps, the
- * orders of the first one are sent. */
+/** The same on a term holder that has deferred orders to its next step, in milliseconds.
+ * The orders of the current step are sent before that. */
 const ORDER_INTERVAL = 1;
-/** Maximum time between two steps on any other VM, in milliseconds. */
+/** Maximum time between two steps of a follower, in milliseconds. */
 const IDLE_INTERVAL = 250;
 /** Maximum time between two steps during a shutdown, in milliseconds. */
 const SHUTDOWN_INTERVAL = 50;
@@ -44,6 +47,7 @@
   readonly #store = StoreHealth.create();
   readonly #quarantineRecord: QuarantineRecord;
   #isReady = false;
+  /** Whether this VM reads the store's feeds: see the effect `feeds.follow`. */
   #isFollowingFeeds = true;
   /** Time of the first event, in milliseconds. */
   #startedAt = Infinity;
@@ -109,12 +113,12 @@
     return new Entry(options);
   }
 
-  /** Whether the load balancer's readiness check succeeds. */
+  /** Whether the load balancer's readiness checks of this process succeed. */
   get isReady(): boolean {
     return this.#isReady;
   }
 
-  /** Estimated number of VMs, or null. */
+  /** Estimated number of VMs, or null if it is not known yet. */
   get vms(): number | null {
     return this.peers.vms;
   }
@@ -161,6 +165,7 @@
     return phase === "follower" ? IDLE_INTERVAL : HOLDER_INTERVAL;
   }
 
+  /** Updates the state for an event. */
   #reduce(event: EntryEvent): void {
     const { now } = event;
     switch (event.kind) {
@@ -215,7 +220,7 @@
           ...this.campaign.onOrderEnded(event.order, event.outcome, now),
         );
       case "request.arrived":
-        if (this.#shutdown.isRejectingRequests(now)) {
+        if (this.#shutdown.isRefusingRequests(now)) {
           return this.#emit(
             ...this.dispatcher.refuseWhileStopping(event.arrival),
           );
@@ -254,7 +259,7 @@
     }
   }
 
-  /** Carries out what depends on the time alone. */
+  /** Performs all work that is due at `now`. */
   #advance(now: number, isTimerEvent: boolean): void {
     const { catalog, fleet } = this.clusterState;
     this.clusterState.applyServerChanges(fleet.expire(now), now);
@@ -289,6 +294,8 @@
     return this.campaign.holder === null ? maximumAge : interval;
   }
 
+  /** Advances the election and the term, and writes the quarantine record if this VM
+   * holds the term. */
   #advanceCampaign(
     services: readonly string[],
     now: number,
@@ -296,12 +303,12 @@
   ): void {
     const from = this.campaign.phase;
     const silence = this.storeSilence(now);
-    const isTold = this.peers.hasHolderUpdates(now);
+    const hasHolderUpdates = this.peers.hasHolderUpdates(now);
     const effects = this.campaign.advance(
       services,
       now,
       silence,
-      isTold,
+      hasHolderUpdates,
       isTimerEvent,
     );
     for (const each of effects) {
@@ -316,9 +323,10 @@
     if (from !== to) this.clusterState.logDecision("term.phase", { from, to });
   }
 
-  /** Stops following the store's feeds while the term holder sends this VM all updates.
-   * With 195 VMs, most of them observers, and little traffic, the long polls and the
-   * updates that they return make up about half of all calls to the store. */
+  /** Stops following the store's feeds while the term holder sends this VM all updates,
+   * and resumes afterwards. With 195 VMs, most of them observers, and little traffic, the
+   * long polls of the feeds and the updates that they return make up about half of all
+   * calls to the store. */
   #updateFeeds(now: number): void {
     const isFollowing = !this.peers.hasHolderUpdates(now);
     if (isFollowing === this.#isFollowingFeeds) return;
@@ -327,6 +335,7 @@
     this.#emit({ kind: "feeds.follow", isOn: isFollowing });
   }
 
+  /** Applies a read of the registry. */
   #readServers(event: EntryEvent & { kind: "servers.read" }): void {
     const { fleet, registry } = this.clusterState;
     const { read, sentAt, now } = event;
@@ -341,10 +350,11 @@
     fleet.confirmPeerEntries((id) => registry.isListed(id), now);
   }
 
-  /** Handles a jump of the clock. If this VM was suspended, updates sent to it meanwhile
-   * may be lost. If that is not certain, only the time of day may have been set, and the
-   * leases of others may not have expired although the clock says so: this VM then drops
-   * all state from which it would conclude that they have. */
+  /** Handles a forward jump of the clock by `gap` milliseconds. If this VM was suspended,
+   * messages sent to it meanwhile may be lost, so it reports to the term holder early. If
+   * it is not certain that it was suspended, only the time of day may have been set, and
+   * leases of others that have expired by this VM's clock may still be valid. This VM
+   * then drops all state from which it would conclude that they have expired. */
   #clockJumped(gap: number, isCertain: boolean): void {
     const detail = { gap: Math.round(gap), isCertain };
     this.clusterState.logDecision("clock.jumped", detail);
@@ -354,6 +364,8 @@
     this.dispatcher.extendDeadlines(gap);
   }
 
+  /** Handles the result of claiming a term. A new holder requests the previous holder's
+   * grants. */
   #termClaimed(effects: KeyspaceEffect[]): void {
     this.#emit(...effects);
     for (const effect of effects) {
@@ -378,7 +390,7 @@
     });
   }
 
-  /** Records a request's key as a sample of the load by key. */
+  /** Records the key of a request in the load statistics, here and at the term holder. */
   #recordKey({ host, target, key }: RequestArrival, now: number): void {
     if (key === null) return;
     const { catalog } = this.clusterState;
@@ -389,6 +401,7 @@
     }
   }
 
+  /** Reports this process as ready while it has a configuration and is not stopping. */
   #updateReadiness(): void {
     const isKnown = this.clusterState.catalog.isKnown;
     const isReady = isKnown && !this.#shutdown.isStarted;
@@ -406,6 +419,7 @@
     this.#emit(...this.dispatcher.failInFlightRequests(reason, now));
   }
 
+  /** Starts the shutdown that was requested `lateness` milliseconds ago. */
   #startShutdown(lateness: number, now: number): void {
     if (!this.#shutdown.start(now - lateness)) return;
     const { pending } = this.dispatcher;
--- a/src/core/entry_effect.ts
+++ b/src/core/entry_effect.ts
@@ -1,5 +1,5 @@
 /**
- * Effects: what the core asks the runtime to carry out, as data.
+ * Effects: all output of the core, as data. The runtime carries them out.
  *
  * @module
  */
@@ -18,22 +18,22 @@
   | AssignmentFetch
   | RegistryFetch
   | QuarantineWrite
-  /** Read the configuration now: a version newer than the active one exists. */
+  /** Read the configuration from the store now: another VM has a newer version. */
   | { kind: "configuration.fetch" }
-  /** Follow the store's feeds, or stop following them while the term holder sends
-   * the updates. */
+  /** Read the store's feeds (its records and, by long polls, their updates), or stop
+   * reading them while the term holder sends the updates. */
   | { kind: "feeds.follow"; isOn: boolean }
   /** Enforce these limits on callers from now on. */
   | { kind: "limits.apply"; limits: CallerLimits }
-  /** Close the idle connections to a server that was removed, or whose previous process
-   * has ended; connections in use close after their response. */
+  /** Close the connections to a server that was removed or has restarted: idle ones now,
+   * those in use after their response. */
   | { kind: "connections.close"; server: string }
-  /** Set the result of the load balancer's readiness check. */
+  /** Set the result of the load balancer's readiness checks. */
   | { kind: "readiness.set"; isReady: boolean }
   /** Close each caller connection after its next response. */
   | { kind: "callers.drain" }
-  /** Close idle caller connections and accept no new ones; the event `callers.closed`
-   * reports the end. */
+  /** Close idle caller connections and accept no new ones. The event `callers.closed`
+   * follows when all responses have been sent. */
   | { kind: "callers.close" }
-  /** Stop the process: nothing is left to do. */
+  /** Stop the process: the shutdown is complete or has reached its time limit. */
   | { kind: "process.stop" };
--- a/src/core/entry_event.ts
+++ b/src/core/entry_event.ts
@@ -18,7 +18,7 @@
 import type { CrashRecord } from "./quarantine/index.ts";
 import type { RegistryRead } from "./registry/index.ts";
 
-/** Step that failed membership calls to the store are reported under. */
+/** Name under which failed membership calls to the store are reported. */
 export const MEMBERSHIP_STEP = "join a group";
 
 /** An event without its time. */
@@ -28,40 +28,55 @@
   /** The clock has jumped by `gap` milliseconds. If `isCertain`, the machine was
    * suspended for that long; otherwise its time of day may only have been set. */
   | { kind: "clock.jumped"; gap: number; isCertain: boolean }
+  /** The configuration was read from the store. */
   | { kind: "configuration.read"; configuration: Configuration }
-  /** Evacuation requests for availability zones were read from the store. */
+  /** Evacuations of availability zones were read from the store. */
   | { kind: "evacuations.read"; read: EvacuationRead }
   /** The store answered a read of the registry that was sent at `sentAt`. */
   | { kind: "servers.read"; read: RegistryRead; sentAt: number }
   /** A read of the registry failed; with `isExpired`, the store no longer retains the
    * records at the position that was read. */
   | { kind: "servers.failed"; isExpired: boolean }
+  /** Key assignments were read from the store. */
   | { kind: "assignments.read"; assignments: Assignment[] }
-  /** A VM has announced that it holds a term. */
+  /** A term holder's announcement of itself was received. */
   | { kind: "holder.announced"; holder: HolderAddress }
-  /** The quarantine record was read from the store, or a write of it has ended. */
+  /** The quarantine record was read from the store. */
   | { kind: "quarantine.read"; records: CrashRecord[] }
+  /** A write of the quarantine record has ended; `isDone` if it succeeded. */
   | { kind: "quarantine.written"; isDone: boolean }
-  /** The store has returned the last term holder, if there was one. */
+  /** The store was read for the last term holder, whether or not there was one. */
   | { kind: "holder.read" }
+  /** A message from the VM at `address` was received. */
   | { kind: "peer.received"; address: string; message: PeerMessage }
   /** The store answered a call that was sent at `sentAt`. */
   | { kind: "store.answered"; sentAt: number }
+  /** A call to the store failed; `step` names the operation that it was part of. */
   | { kind: "store.failed"; step: string; cause: string }
+  /** A membership call, which joins an election group in the store, was answered. */
   | { kind: "group.joined"; membership: Membership }
+  /** A membership call failed. */
   | { kind: "group.failed" }
+  /** An elected VM has read the records of the last term from the store; null if the
+   * read failed or the last term is unknown. */
   | { kind: "term.read"; records: TermRecords | null }
+  /** The write that claims a term has ended. */
   | { kind: "term.claimed"; term: number; outcome: WriteOutcome }
+  /** A write of the assignments in a term has ended. */
   | { kind: "assignments.written"; term: number; outcome: WriteOutcome }
+  /** An order to a server has ended. */
   | { kind: "order.ended"; order: number; outcome: OrderOutcome }
   | { kind: "request.arrived"; arrival: RequestArrival }
   /** A request was rejected because its deadline had passed when it was read. */
   | { kind: "request.late"; id: string; timeout: number; age: number }
+  /** A caller disconnected before it received the response. */
   | { kind: "request.left"; exchange: number }
   /** After `callers.close`: all responses have been sent and no request can arrive. */
   | { kind: "callers.closed" }
-  /** A probe of a server's address has ended; `isRefused` if nothing listens there. */
+  /** A probe of a server's address has ended; `isRefused` if the connection was
+   * refused. */
   | { kind: "server.checked"; server: string; isRefused: boolean }
+  /** An attempt to have a server run a request has ended. */
   | { kind: "attempt.ended"; attempt: number; outcome: AttemptOutcome }
   /** The process was asked to stop, `lateness` milliseconds before it noticed. */
   | { kind: "shutdown"; lateness: number };
--- a/src/core/entry_options.ts
+++ b/src/core/entry_options.ts
@@ -8,10 +8,10 @@
 
 /** Times of a shutdown, in milliseconds after it was requested. */
 export interface ShutdownTiming {
-  /** New connections of callers are accepted until then: the load balancer needs two
-   * failed readiness checks, one second apart, to route to other VMs. */
+  /** Until then, new connections of callers are accepted: the load balancer routes to
+   * other VMs only after two failed readiness checks, one second apart. */
   closeAfter: number;
-  /** The process stops then, even with requests in flight. */
+  /** Time limit, at which the process stops even with requests in flight. */
   stopAfter: number;
 }
 
@@ -19,8 +19,8 @@
 export interface RegistryTiming {
   /** Interval between two reads by the term holder. */
   interval: number;
-  /** Age at which any other VM stops relying on the term holder's updates and reads the
-   * registry itself. It exceeds the holder's interval plus the time that a follower's
+  /** Age at which any other VM reads the registry itself because the term holder's updates
+   * are missing. It must exceed the holder's interval plus the time that a follower's
    * report and its answer take. */
   maximumAge: number;
 }
@@ -31,6 +31,7 @@
   peerAddress: string;
   /** Addresses of VMs to contact while the store is unreachable. */
   seeds: readonly string[];
+  /** Availability zone of this VM. */
   availabilityZone: string;
   leaseTiming: LeaseTiming;
   /** Fitness of this VM to hold the term; VMs of higher fitness are preferred. */
--- a/src/core/entry_status.ts
+++ b/src/core/entry_status.ts
@@ -9,12 +9,14 @@
 export interface EntryStatus {
   configuration: { version: number; routes: number };
   isReady: boolean;
+  /** Number of requests without a final response. */
   pending: number;
   /** Estimated number of VMs, or null. */
   vms: number | null;
   /** Time since the last answered call to the store was sent. */
   storeSilence: number;
   term: {
+    /** Phase of this VM in the election and in its term. */
     phase: string;
     /** Address of the holder, or null. */
     holder: string | null;
@@ -31,7 +33,9 @@
     isEvacuated: boolean;
     /** Whether it reports that it has just started and is still warming up. */
     isWarming: boolean;
+    /** Number of this VM's requests that the server has not completed. */
     inFlight: number;
+    /** Moving average of its response times, or null if none is known. */
     latency: number | null;
     /** Maximum requests per second from all VMs combined; null without a limit. */
     rateLimit: number | null;
@@ -42,19 +46,20 @@
     service: string;
     term: number;
     version: number;
+    /** Number of key ranges, and how many of them are open for requests. */
     ranges: number;
     open: number;
     /** Number of servers that keys are assigned to. */
     servers: number;
   }[];
-  /** Quarantined requests: servers have crashed while they ran them. */
+  /** Requests that are quarantined because servers crashed while they ran them. */
   quarantine: {
     fingerprint: string;
     /** Host and path, truncated. */
     target: string;
-    /** Number of server processes that crashed while they ran it. */
+    /** Number of server processes that crashed while they ran the request. */
     ends: number;
-    /** Time until one trial of the request is permitted. */
+    /** Time until the request is released for a trial. */
     left: number;
   }[];
 }
--- a/src/core/entry_test.ts
+++ b/src/core/entry_test.ts
@@ -6,6 +6,7 @@
 import type { EntryEffect } from "./entry_effect.ts";
 import type { UntimedEvent } from "./entry_event.ts";
 
+/** Returns the event of an empty configuration read from the store. */
 function configurationRead(version: number): UntimedEvent {
   return {
     kind: "configuration.read",
@@ -13,6 +14,8 @@
   };
 }
 
+/** Returns the event of an answer from a term holder with the given configuration
+ * version. */
 function holderAlive(configuration: number): UntimedEvent {
   return {
     kind: "peer.received",
@@ -29,13 +32,14 @@
   };
 }
 
+/** Returns the kinds of the effects, in order. */
 const kinds = (effects: EntryEffect[]) => effects.map((each) => each.kind);
 
-test("entry: a newer configuration of a peer is fetched after a delay, at limited frequency", (t) => {
+test("entry: a newer configuration of another VM is fetched after a delay, at limited frequency", (t) => {
   const { step } = createSteppedEntry();
   step(0, configurationRead(3));
   t.false(kinds(step(10, holderAlive(3))).includes("configuration.fetch"));
-  // It can still arrive from the store for a while; after that it is fetched.
+  // It may still arrive through the long poll. It is fetched 600 ms later if it has not.
   t.false(kinds(step(20, holderAlive(5))).includes("configuration.fetch"));
   t.false(kinds(step(519, holderAlive(5))).includes("configuration.fetch"));
   t.true(kinds(step(620, holderAlive(5))).includes("configuration.fetch"));
@@ -136,31 +140,32 @@
   // The store stays unreachable, so state from peers is still applied.
   step(60_000, { kind: "timer" });
   step(60_010, stateTold([["i-1", 100], ["i-2", 300]]));
-  const runs = entry.clusterState.fleet.all().map((each) =>
+  const processes = entry.clusterState.fleet.all().map((each) =>
     `${each.id} ${each.entry.incarnation}`
   );
-  t.deepEqual(runs, ["i-1 200", "i-2 300"]);
+  t.deepEqual(processes, ["i-1 200", "i-2 300"]);
 });
 
 /**
- * Guards against a VM that keeps a removed server and goes on sending requests to it.
+ * Guards against a VM that keeps a removed server and continues to send requests to it.
  * After a suspension the VM receives both the term holder's registry update, which
- * removes the server, and the whole state of a peer that does not know of the removal
- * yet. If the state adds the server again, it stays: later updates contain changes only.
+ * removes the server, and the whole state of a VM that has not received the update yet.
+ * If that state adds the server again, no later update removes it, because updates
+ * contain changes only.
  */
 for (const isFirst of [true, false]) {
   const order = isFirst ? "before" : "after";
-  test(`entry: a removed server stays removed if a peer's outdated state comes ${order} the update`, (t) => {
+  test(`entry: a removed server stays removed if another VM's outdated state arrives ${order} the update`, (t) => {
     const { entry, step } = createSteppedEntry();
     const servers = [backendServer("i-1", { incarnation: 5, address: "h:1" })];
     const configuration = configurationRead(1);
     if (configuration.kind !== "configuration.read") return t.fail();
-    const knowledge = { term: 0, version: 0, configuration: 1 };
+    const senderState = { term: 0, version: 0, configuration: 1 };
     const stateTold: UntimedEvent = {
       kind: "peer.received",
       address: "vm-2",
       message: {
-        ...knowledge,
+        ...senderState,
         kind: "state.told",
         state: { ...configuration, servers, assignments: [], holder: null },
       },
@@ -169,7 +174,7 @@
       kind: "peer.received",
       address: "vm-3",
       message: {
-        ...knowledge,
+        ...senderState,
         kind: "servers.told",
         registry: {
           since,
@@ -250,7 +255,7 @@
   t.is(fetches(step(5_100, { kind: "timer" })), 1);
 });
 
-test("entry: requests are rejected late in a shutdown and accepted before", (t) => {
+test("entry: requests are refused late in a shutdown and accepted before", (t) => {
   const { step } = createSteppedEntry();
   step(0, configurationRead(1));
   step(1_000, { kind: "shutdown", lateness: 0 });
--- a/src/core/holder_change_test.ts
+++ b/src/core/holder_change_test.ts
@@ -1,10 +1,10 @@
 /**
  * Guards against repeated changes of the term holder after a new one is announced to
- * many VMs (195). If all connect to it at once, it accepts the connections one after the
- * other, and each VM retries after 1.5 s without an answer. With no answer within 3 s,
- * the VMs of low fitness assume that the holder has failed and become candidates,
- * although it keeps writing assignments. A term held by a VM of low fitness is short, so
- * the term then passes on every 2 to 3 s, with many calls to the store.
+ * many VMs (195). If all of them connect to it at once, it accepts the connections one
+ * after the other, and each VM retries after 1.5 s without an answer. After 3 s without
+ * an answer, the VMs of low fitness assume that the holder has failed and become
+ * candidates, although it keeps writing assignments. A VM of low fitness holds the term
+ * only briefly, so the holder then changes every 2 to 3 s, with many calls to the store.
  */
 import test from "ava";
 import { emptyConfiguration } from "../../test/support/empty_configuration.ts";
@@ -13,7 +13,8 @@
 import type { UntimedEvent } from "./entry_event.ts";
 
 const HOLDER = "holder:1";
-/** Time over which the first reports to a new holder are spread, in milliseconds. */
+/** Maximum time over which the first reports to a new holder are spread, in
+ * milliseconds. */
 const REPORT_SPREAD = 500;
 
 /** Creates a VM of low fitness in a deployment of `vms` VMs, to which a new holder of
@@ -43,11 +44,13 @@
   return { entry, step, announced };
 }
 
+/** Whether the effect sends a follower's report. */
 function isReport(effect: EntryEffect): boolean {
   return effect.kind === "peer.send" && effect.message.kind === "keys.asked";
 }
 
-/** Returns when the first report is sent to the new holder. */
+/** Returns when the first report is sent to the new holder, in milliseconds after its
+ * announcement. */
 function firstReportAt(vms: number, seed: number): number {
   const { entry, step, announced } = createFollower(vms, seed);
   if (announced.some(isReport)) return 0;
--- a/src/core/random.ts
+++ b/src/core/random.ts
@@ -1,5 +1,5 @@
 /**
- * Seeded random numbers: the core draws no others, so that runs can be repeated.
+ * Seeded random numbers. The core draws no others, so that a simulation can be repeated.
  *
  * @module
  */
--- a/src/core/shutdown.ts
+++ b/src/core/shutdown.ts
@@ -8,19 +8,20 @@
 import type { EntryEffect } from "./entry_effect.ts";
 import type { ShutdownTiming } from "./entry_options.ts";
 
-/** Share of the time until the close after which new requests are rejected. A long
- * request accepted later could be cut off when the process is forced to stop, which
- * callers tolerate only for requests of the first 3 s. By this time the load balancer
+/** Share of {@linkcode ShutdownTiming.closeAfter} after which new requests are refused. A
+ * long request accepted later could be cut off by the forced stop, which callers tolerate
+ * only for requests of the first 3 s of the shutdown. By this time the load balancer
  * routes to other VMs. */
-const REJECTION_SHARE = 0.8;
+const REFUSAL_SHARE = 0.8;
 
-/** Time before the forced stop at which all pending requests are ended, in
- * milliseconds: the responses still have to reach their callers. */
+/** Time before the forced stop at which all pending requests are ended with a response,
+ * in milliseconds: the responses still have to reach their callers. */
 const FINAL_RESPONSE_TIME = 250;
 
 /** See the module's comment. */
 export class Shutdown {
   #startedAt: number | null = null;
+  /** Whether new connections are no longer accepted. */
   #isClosed = false;
   #hasClosedCallers = false;
   #isStopped = false;
@@ -37,10 +38,10 @@
     return this.#startedAt !== null;
   }
 
-  /** Whether requests that arrive now are rejected. */
-  isRejectingRequests(now: number): boolean {
+  /** Whether requests that arrive now are refused. */
+  isRefusingRequests(now: number): boolean {
     if (this.#startedAt === null) return false;
-    return now - this.#startedAt >= this.timing.closeAfter * REJECTION_SHARE;
+    return now - this.#startedAt >= this.timing.closeAfter * REFUSAL_SHARE;
   }
 
   /** Whether the forced stop is imminent. A request that is still pending then would be
@@ -50,16 +51,15 @@
     return now - this.#startedAt >= this.timing.stopAfter - FINAL_RESPONSE_TIME;
   }
 
-  /** Starts the shutdown as of `requestedAt`, from which the time until the forced stop
-   * counts, however late a busy process notices the request. Returns false if it was
-   * started before. */
+  /** Starts the shutdown. All its times count from `requestedAt`, however late a busy
+   * process handles the request. Returns false if it was started before. */
   start(requestedAt: number): boolean {
     if (this.#startedAt !== null) return false;
     this.#startedAt = requestedAt;
     return true;
   }
 
-  /** Records that all responses have been sent and no request can arrive. */
+  /** Records that all responses have been sent and that no further request can arrive. */
   callersClosed(): void {
     this.#hasClosedCallers = true;
   }
--- a/src/core/shutdown_pending_request_test.ts
+++ b/src/core/shutdown_pending_request_test.ts
@@ -1,7 +1,7 @@
 /**
- * A request that still waits for a server at the time limit of a shutdown has not run
- * anywhere. Its caller has to receive a response that says so and allows a retry, before
- * the process closes the connection.
+ * Guards against a shutdown that closes connections of callers without a response. A
+ * request that still waits for a server at the time limit has not run anywhere: its
+ * caller has to receive a response that says so and allows a retry.
  *
  * @module
  */
@@ -11,8 +11,8 @@
 import { createSteppedEntry } from "../../test/support/stepped_entry.ts";
 import type { BackendServer } from "./fleet/index.ts";
 
-/** A request waits for a server for up to 0.6 of this time, in milliseconds: longer than
- * the shutdown takes. */
+/** Target latency of the route, in milliseconds. A request waits for a server for up to
+ * 0.6 of it, which is longer than the shutdown takes. */
 const TARGET_LATENCY = 12_000;
 const LIMITS = {
   maximumHeaderBytes: 1,
@@ -94,9 +94,9 @@
 });
 
 // Guards against lost responses with HTTP pipelining: the response to a request was
-// ready for 3.9 s, but queued behind that of an earlier request, which its server was
-// still running when the process stopped. Both were lost with the connection, and the
-// log contained shutdown.finished with requests pending.
+// ready for 3.9 s, but queued behind the response to an earlier request, which a server
+// was still running when the process stopped. Both responses were lost with the
+// connection, and `shutdown.finished` was logged with requests pending.
 test("shutdown: a request that still runs at the time limit gets a response, so that responses queued behind it are sent", (t) => {
   const { step } = createEntry(backendServer("i-1"));
   const effects = step(400, { kind: "request.arrived", arrival: ARRIVAL });
--- a/src/core/store_health.ts
+++ b/src/core/store_health.ts
@@ -1,5 +1,6 @@
 /**
- * Tracks whether the store answers this VM, and suppresses billed calls in an outage.
+ * Tracks whether the store answers this VM, and suppresses billed calls during an
+ * outage.
  *
  * ```ts
  * health.failed("read the registry", now);
@@ -11,18 +12,19 @@
  */
 import { MEMBERSHIP_STEP } from "./entry_event.ts";
 
-/** Time without an answer after which the store counts as lost, in milliseconds. Several
- * calls are made each second, so several answers are missing by then. */
+/** Time without an answer after which the store counts as lost, that is, as unreachable,
+ * in milliseconds. Several calls are made each second, so several answers are missing by
+ * then. */
 const LOST_AFTER = 1_500;
-/** Time without billed calls after one has failed, in milliseconds: rejected calls are
- * billed too, and an outage lasts seconds. */
+/** Time for which no billed call is made after one has failed, in milliseconds. Rejected
+ * calls are billed too, and an outage lasts seconds. */
 const RETRY_DELAY = 2_000;
 
 /** See the module's comment. Times are milliseconds of this VM's monotonic clock. */
 export class StoreHealth {
   /** When the last answered call was sent. */
   #answeredAt = -Infinity;
-  /** When a billed call last failed, if no call was answered since. */
+  /** When a billed call last failed; -Infinity if a call was answered since. */
   #failedAt = -Infinity;
   /** Steps that have failed since the store last answered. */
   readonly #failingSteps = new Set<string>();
@@ -46,7 +48,8 @@
   }
 
   /** Records the answer to a call that was sent at `sentAt`. Returns whether the store
-   * was lost until now. An answer that took longer than the loss timeout ends no loss. */
+   * was lost until now. An answer that took longer than the timeout does not show that
+   * the store is reachable. */
   answered(sentAt: number, now: number): boolean {
     this.#answeredAt = Math.max(this.#answeredAt, sentAt);
     if (now - sentAt > LOST_AFTER) return false;
@@ -57,9 +60,9 @@
     return wasLost;
   }
 
-  /** Records that another VM, which sends this one the store's updates, reached the
-   * store at `at`: this VM is up to date even if its own calls are not answered. Returns
-   * whether the store was lost until now. */
+  /** Records that the VM that sends this VM the store's updates reached the store at `at`:
+   * this VM is up to date even if its own calls are not answered. Returns whether the
+   * store was lost until now. */
   confirmedByPeer(at: number, now: number): boolean {
     this.#answeredAt = Math.max(this.#answeredAt, at);
     if (!this.#isLost || now - at > LOST_AFTER) return false;
--- a/src/core/store_health_test.ts
+++ b/src/core/store_health_test.ts
@@ -2,7 +2,7 @@
 import { MEMBERSHIP_STEP } from "./entry_event.ts";
 import { StoreHealth } from "./store_health.ts";
 
-test("store health: the store is lost after a time without answers and regained with an answer", (t) => {
+test("store health: the store counts as lost after a time without answers and until the next answer", (t) => {
   const health = StoreHealth.create();
   t.true(health.isLost);
   t.true(health.answered(0, 4));
@@ -14,7 +14,7 @@
   t.true(health.answered(4_000, 4_004));
 });
 
-test("store health: another VM's contact with the store ends a loss unless it is too old", (t) => {
+test("store health: the store does not count as lost if another VM has reached it recently", (t) => {
   const health = StoreHealth.create();
   t.false(health.confirmedByPeer(0, 1_600));
   t.true(health.isLost);
--- a/src/core/store_update_follower_test.ts
+++ b/src/core/store_update_follower_test.ts
@@ -1,8 +1,8 @@
 /**
- * In a deployment with many VMs of low fitness, most only observe the term holder, which
- * sends them all store updates. They stop their own long polls and most membership
- * calls, which would be the largest part of the store's billed calls. They must not miss
- * updates when the holder itself loses the store.
+ * In a deployment with many VMs of low fitness, most of them are observers, to which the
+ * term holder sends all store updates. They stop their own long polls and most of their
+ * membership calls, which would be the largest part of all billed calls to the store.
+ * They must not miss updates when the holder cannot reach the store.
  */
 import test from "ava";
 import { emptyConfiguration } from "../../test/support/empty_configuration.ts";
@@ -12,7 +12,7 @@
 import type { PeerMessage } from "./peers/index.ts";
 
 const HOLDER = "holder:1";
-/** Fitness of a VM that only observes a holder of fitness 1. */
+/** Fitness of a VM that is an observer while the holder's fitness is 1. */
 const OBSERVER_FITNESS = 0.5;
 /** Time between two timer events, in milliseconds. */
 const STEP = 50;
@@ -88,8 +88,8 @@
       );
     }
   };
-  /** Returns and discards the effects so far: when following of the feeds was switched on
-   * or off, and the numbers of membership calls and of state requests. */
+  /** Summarizes the effects since the last call: when following of the feeds was switched
+   * on or off, and the numbers of membership calls and of state requests. */
   const takeEffects = () => {
     const all = effects.splice(0);
     return {
@@ -131,10 +131,11 @@
   t.true(joins >= 2, "membership calls are made again");
 });
 
-// Guards against a VM that rejects requests by an old configuration long after a newer
-// one was acknowledged (3.3 s): a holder that has lost the store still answers its
-// followers until its authority ends, and the followers then wait for further answers.
-test("store updates: an observer follows feeds again if the holder has lost the store", (t) => {
+// Guards against a VM that refuses requests because of an old configuration long after a
+// newer one was acknowledged (3.3 s). A holder that cannot reach the store still answers
+// its followers until its authority ends, and the followers then wait for further answers
+// before they call the store.
+test("store updates: an observer follows feeds again if the holder cannot reach the store", (t) => {
   const { advance, takeEffects } = createObserver();
   const lostAt = 5_000;
   advance(0, lostAt, () => 0);
@@ -155,10 +156,10 @@
   t.false(entry.peers.hasHolderUpdates(9_000));
 });
 
-test("store updates: an observer without access to the store requests no state from peers", (t) => {
+test("store updates: an observer that cannot reach the store requests no state from other VMs", (t) => {
   const { advance, takeEffects } = createObserver();
   advance(0, 20_000, () => 300, false);
-  t.true(takeEffects().stateRequests <= 1, "at its start only");
+  t.true(takeEffects().stateRequests <= 1, "only at its start");
 });
 
 test("store updates: a VM that can be elected follows feeds itself", (t) => {
