--- a/src/core/catalog/catalog.ts
+++ b/src/core/catalog/catalog.ts
@@ -1,6 +1,6 @@
 /**
- * The active configuration with the indexes that request routing needs. Its version
- * only increases.
+ * The active configuration, indexed for the routing of requests. A configuration is
+ * replaced only by one of a higher version.
  *
  * @module
  */
@@ -19,7 +19,8 @@
   #routes = RouteTable.create([]);
   #services = new Map<string, Service>();
   #rotations = new Map<string, WeightedRotation>();
-  /** Lowest priority number, that is, the most urgent, among each service's routes. */
+  /** Most urgent priority, that is, the lowest number, among the routes to each service,
+   * by its name. */
   #topPriorities = new Map<string, number>();
 
   private constructor() {}
@@ -53,12 +54,13 @@
     return this.#configuration?.limits ?? null;
   }
 
-  /** Services whose keys are partitioned among their servers. */
+  /** Services of which each key is owned by exactly one server. */
   get keyedServices(): Service[] {
     return [...this.#services.values()].filter((each) => each.isKeyed);
   }
 
-  /** Activates `next` if its version is higher; returns whether it is. */
+  /** Activates `next` if its version is higher than that of the active configuration.
+   * Returns whether it is. */
   apply(next: Configuration): boolean {
     if (next.version <= this.version) return false;
     this.#configuration = next;
@@ -69,7 +71,8 @@
     return true;
   }
 
-  /** Returns the route of a request, or undefined. */
+  /** Returns the route of a request to a host and target (path and query), or
+   * undefined. */
   route(host: string, target: string): Route | undefined {
     return this.#routes.find(host, target);
   }
@@ -83,7 +86,7 @@
     return priority <= (this.#topPriorities.get(service) ?? priority);
   }
 
-  /** Chooses the service for the next request on `route`. */
+  /** Returns the name of the service that the next request on `route` is sent to. */
   chooseDestination(route: Route): string {
     if (route.destinations.length === 1) return route.destinations[0].service;
     let rotation = this.#rotations.get(route.name);
--- a/src/core/catalog/catalog_test.ts
+++ b/src/core/catalog/catalog_test.ts
@@ -3,6 +3,7 @@
 import { type Configuration, configurationSchema } from "./configuration.ts";
 import { WeightedRotation } from "./weighted_rotation.ts";
 
+/** Returns a configuration with one route for each path prefix. */
 function configuration(version: number, prefixes: string[]): Configuration {
   return configurationSchema.parse({
     version,
--- a/src/core/catalog/route_table.ts
+++ b/src/core/catalog/route_table.ts
@@ -1,5 +1,6 @@
 /**
- * Finds the route of a request: that with the longest path prefix for its host.
+ * Finds the route of a request: among the routes of its host, the one with the longest
+ * path prefix that matches.
  *
  * @module
  */
--- a/src/core/catalog/weighted_rotation.ts
+++ b/src/core/catalog/weighted_rotation.ts
@@ -6,17 +6,21 @@
 import type { Destination } from "./configuration.ts";
 
 /**
- * Smooth weighted round robin: any sequence of requests is divided by weight to within
- * one request per destination, so the shares hold over short periods too. A destination
- * without free capacity keeps its share.
+ * Smooth weighted round robin. Within any sequence of requests, each destination receives
+ * its share to within one request, so the shares are correct over short periods too. They
+ * do not depend on the capacity that a destination has left.
  */
 export class WeightedRotation {
+  /** Requests that each destination is owed, multiplied by the total weight. */
   readonly #credits: number[];
-  readonly #total: number;
+  readonly #totalWeight: number;
 
   private constructor(private readonly destinations: readonly Destination[]) {
     this.#credits = destinations.map(() => 0);
-    this.#total = destinations.reduce((sum, each) => sum + each.weight, 0);
+    this.#totalWeight = destinations.reduce(
+      (sum, each) => sum + each.weight,
+      0,
+    );
   }
 
   /** Creates a rotation that begins with the destination of the highest weight. */
@@ -31,7 +35,7 @@
       this.#credits[i] += this.destinations[i].weight;
       if (this.#credits[i] > this.#credits[best]) best = i;
     }
-    this.#credits[best] -= this.#total;
+    this.#credits[best] -= this.#totalWeight;
     return this.destinations[best].service;
   }
 }
--- a/src/core/declaration/check.ts
+++ b/src/core/declaration/check.ts
@@ -1,6 +1,6 @@
 /**
- * Checks the rules of a declaration that span several documents, which the schema of
- * one document cannot express.
+ * Checks the rules of a declaration, the configuration files that operators write, that
+ * span several documents. The schema of one document cannot express them.
  *
  * @module
  */
@@ -16,7 +16,7 @@
   message: string;
 }
 
-/** Returns all errors that span documents; none if the declaration is valid. */
+/** Returns all violations of these rules; none if the declaration is valid. */
 export function checkDeclaration({ base, overlays }: Declaration): Issue[] {
   const services = Object.keys(base.services);
   const issues: Issue[] = [];
@@ -44,13 +44,15 @@
   return issues;
 }
 
+/** Checks that an overlay names only services or routes, depending on `part`, that the
+ * base file has. */
 function checkNames(
   document: string,
   part: string,
-  overlaid: Record<string, unknown>,
+  overrides: Record<string, unknown>,
   known: readonly string[],
 ): Issue[] {
-  return Object.keys(overlaid)
+  return Object.keys(overrides)
     .filter((name) => !known.includes(name))
     .map((name) => ({
       document,
@@ -61,6 +63,7 @@
     }));
 }
 
+/** Checks that a route sends requests only to services of the base file. */
 function checkTarget(
   document: string,
   route: string,
--- a/src/core/declaration/document.ts
+++ b/src/core/declaration/document.ts
@@ -1,7 +1,7 @@
 /**
- * Schemas of the declaration that operators write: one base file and one overlay for
- * each site. Types are inferred from the schemas, and defaults are set in the schemas
- * only. All durations are milliseconds.
+ * Schemas of the declaration, the configuration files that operators write: one base
+ * file, and one overlay for each site. Types are inferred from the schemas, and defaults
+ * are set in the schemas only. All durations are milliseconds.
  *
  * @module
  */
@@ -14,7 +14,8 @@
 const milliseconds = z.number().int().positive();
 const count = z.number().int().positive();
 
-/** Limits on the size of callers' requests, and timeouts for slow or idle callers. */
+/** Limits on the size of callers' requests in bytes, and timeouts for slow or idle
+ * callers. */
 export const limitsSchema = z.strictObject({
   maximumHeaderBytes: count.default(16 * 1024),
   maximumBodyBytes: count.default(64 * 1024 * 1024),
@@ -30,7 +31,7 @@
   connections: count.default(100),
 });
 
-/** Weights by service: each receives its share of a route's requests. */
+/** Weights by service. The requests of a route are divided in proportion to them. */
 const splitSchema = z.record(identifier, z.number().nonnegative());
 
 /** A route in the base file. */
@@ -38,7 +39,7 @@
   host: z.string().min(1),
   /** Begins and ends with a slash. */
   path: z.string().startsWith("/").endsWith("/"),
-  /** The service, or several with their weights. */
+  /** The service that requests are sent to, or several with their weights. */
   to: z.union([identifier, splitSchema]),
   /** Whether a request may be run more than once. */
   idempotent: z.boolean().default(false),
@@ -66,7 +67,7 @@
 /** See {@linkcode baseSchema}. */
 export type Base = z.infer<typeof baseSchema>;
 
-/** The overlay of one site: values that differ from the base file. */
+/** The overlay of one site: values that replace those of the base file. */
 export const overlaySchema = z.strictObject({
   site: identifier,
   services: z.record(
--- a/src/core/declaration/site.ts
+++ b/src/core/declaration/site.ts
@@ -20,11 +20,12 @@
       service.connections,
   }));
   const routes = Object.entries(base.routes).map(([name, route]) =>
-    siteRoute(name, { ...route, ...defined(overlay?.routes[name] ?? {}) })
+    siteRoute(name, { ...route, ...definedFields(overlay?.routes[name] ?? {}) })
   );
   return { version, limits: base.limits, services, routes };
 }
 
+/** Converts a route of the declaration. */
 function siteRoute(name: string, route: DeclaredRoute) {
   const { to } = route;
   return {
@@ -43,7 +44,7 @@
 }
 
 /** Returns the fields whose value is not undefined. */
-function defined<T extends object>(fields: T): Partial<T> {
+function definedFields<T extends object>(fields: T): Partial<T> {
   const entries = Object.entries(fields).filter(([, value]) =>
     value !== undefined
   );
