--- a/src/core/entry.ts
+++ b/src/core/entry.ts
@@ -133,8 +133,9 @@
     this.#startedAt = Math.min(this.#startedAt, event.now);
     this.#reduce(event);
     this.#advance(event.now, event.kind === "timer");
-    // Orders come last: an order is sent only after all effects of the step have been
-    // carried out, and by then it may be too old to open a connection.
+    // Orders come last. They leave the process only after all effects of the step have
+    // been carried out, and the effects after an order could delay it until it is too old
+    // to open a connection.
     const effects = [...this.#effects, ...this.#orders];
     this.#effects = [];
     this.#orders = [];
@@ -152,7 +153,7 @@
       this.peers.nextAt(),
       Math.max(
         this.#store.retryAt,
-        this.clusterState.registry.dueAt(this.#registryAge),
+        this.clusterState.registry.dueAt(this.#maximumRegistryAge),
       ),
       now + Math.min(interval, shutdownInterval),
     );
@@ -284,12 +285,15 @@
   /** Reads the registry when the local copy is too old. */
   #advanceRegistry(now: number): void {
     if (this.#store.isFailing(now)) return;
-    const fetch = this.clusterState.registry.fetch(now, this.#registryAge);
+    const fetch = this.clusterState.registry.fetch(
+      now,
+      this.#maximumRegistryAge,
+    );
     if (fetch !== null) this.#emit(fetch);
   }
 
   /** Maximum age of the local copy of the registry, in milliseconds. */
-  get #registryAge(): number {
+  get #maximumRegistryAge(): number {
     const { interval, maximumAge } = this.#registryTiming;
     return this.campaign.holder === null ? maximumAge : interval;
   }
--- a/src/core/entry_event.ts
+++ b/src/core/entry_event.ts
@@ -78,7 +78,8 @@
   | { kind: "server.checked"; server: string; isRefused: boolean }
   /** An attempt to have a server run a request has ended. */
   | { kind: "attempt.ended"; attempt: number; outcome: AttemptOutcome }
-  /** The process was asked to stop, `lateness` milliseconds before it noticed. */
+  /** A shutdown was requested `lateness` milliseconds before the process handled the
+   * request. */
   | { kind: "shutdown"; lateness: number };
 
 /** See the module's comment. */
--- a/src/core/exchange/peer_exchange.ts
+++ b/src/core/exchange/peer_exchange.ts
@@ -34,7 +34,7 @@
 import { StatePublisher } from "./state_publisher.ts";
 
 /** Time between two calls of {@linkcode PeerExchange.advance} after which this process
- * is assumed to have been suspended, in milliseconds. Timers fire four times as
+ * is assumed to have been suspended, in milliseconds. Timers call it four times as
  * often. */
 const SUSPENSION_THRESHOLD = 1_000;
 
--- a/src/core/exchange/quarantine_exchange_test.ts
+++ b/src/core/exchange/quarantine_exchange_test.ts
@@ -64,7 +64,7 @@
 const isQuarantinedAt = (now: number) => ({ quarantine }: Vm) =>
   quarantine.hold(REQUEST, now) !== null;
 
-test("quarantine exchange: crashes seen by three VMs are known to all after one report", (t) => {
+test("quarantine exchange: crashes detected by three VMs reach all VMs with one report of each", (t) => {
   const holder = createVm("h");
   const followers = ["a", "b", "c", "d"].map((each) => createVm(each));
   report(holder, followers, 0);
--- a/src/core/exchange/state_publisher.ts
+++ b/src/core/exchange/state_publisher.ts
@@ -51,7 +51,7 @@
   #versions: PublishedVersion[] = [];
   /** Registry position up to which changes were published, or null. */
   #publishedPosition: number | null = null;
-  /** Version of the active configuration, and when it was first seen active. */
+  /** Version of the active configuration, and since when it is known to be active. */
   #configuration = { version: -1, since: -Infinity };
   /** Pacing of messages with all assignments, which count as the same within a term, and
    * of those with the configuration, by its version. */
--- a/src/core/peers/follower_link.ts
+++ b/src/core/peers/follower_link.ts
@@ -39,8 +39,8 @@
 /** Maximum age of the store data received from the holder with which this VM makes no
  * store calls of its own, in milliseconds. The age consists of the time since the last
  * answered report, up to half a second, and the time since the holder's last answered
- * store call. If the holder loses the store, this VM calls it after this time, which
- * leaves a second to apply a configuration that must be in force within 2.5 s. */
+ * store call. If the holder cannot reach the store, this VM calls it after this time,
+ * which leaves a second to apply a configuration that must be in force within 2.5 s. */
 const MAXIMUM_STORE_AGE = 1_500;
 /** Maximum number of keys per service in one report. More keys would not make the
  * sample more accurate. */
@@ -67,7 +67,8 @@
   #receivedAt = -Infinity;
   /** Latest time at which the holder is known to have reached the store. */
   #storeContactAt = -Infinity;
-  #followedSince = -Infinity;
+  /** When this VM began to follow the holder. */
+  #followingSince = -Infinity;
   #reportedAt = -Infinity;
   #fetchedAt = -Infinity;
   #urgentReport: UrgentReport | null = null;
@@ -106,7 +107,7 @@
     const delayedVms = Math.max(0, (vmCount ?? 0) - IMMEDIATE_REPORTS);
     const spread = Math.min(REPORT_INTERVAL, delayedVms * REPORT_SPREAD_PER_VM);
     this.#reportedAt = now - REPORT_INTERVAL + spread * chance;
-    this.#followedSince = now;
+    this.#followingSince = now;
   }
 
   /** Records a message from the holder. */
@@ -148,7 +149,7 @@
    * neither is. */
   nextAt(): number {
     if (this.#holder === null) return Infinity;
-    const isFirst = this.#reportedAt < this.#followedSince;
+    const isFirst = this.#reportedAt < this.#followingSince;
     const interval = this.#urgentReport?.interval ??
       (isFirst ? REPORT_INTERVAL : Infinity);
     return this.#reportedAt + interval;
@@ -203,9 +204,9 @@
 
   /** Whether the announced holder has sent nothing for too long. */
   #hasHolderTimedOut(now: number): boolean {
-    const isAwaitingFirstMessage = this.#receivedAt < this.#followedSince;
+    const isAwaitingFirstMessage = this.#receivedAt < this.#followingSince;
     const since = isAwaitingFirstMessage
-      ? this.#followedSince
+      ? this.#followingSince
       : this.#receivedAt;
     const timeout = this.#receivedAt === -Infinity
       ? FIRST_CONTACT_TIMEOUT
--- a/src/core/peers/holder_link.ts
+++ b/src/core/peers/holder_link.ts
@@ -53,8 +53,8 @@
   readonly #reportedAt = new Map<string, number>();
   /** Followers that receive store updates from this VM instead of the store. */
   readonly #updateReceivers = new Set<string>();
-  /** The configuration message. The same object is sent to all followers so that it is
-   * encoded only once. */
+  /** The last message with the configuration. The same object is sent to all followers, so
+   * that it is encoded only once. */
   #configurationMessage: MessageOf<"configuration.told"> | null = null;
 
   private constructor() {}
@@ -64,7 +64,7 @@
     return new HolderLink();
   }
 
-  /** Number of live VMs, including this one. */
+  /** Number of running VMs, including this one. */
   vmCount(now: number): number {
     for (const [address, reportedAt] of this.#reportedAt) {
       if (now - reportedAt > FOLLOWER_TIMEOUT) this.#forget(address);
--- a/src/core/peers/state_request.ts
+++ b/src/core/peers/state_request.ts
@@ -1,7 +1,7 @@
 /**
  * Requests state from other VMs while the store is unreachable. A process that has just
- * started needs a configuration, and any other one needs the changes that it cannot read
- * from the store.
+ * started needs a configuration; one that has a configuration needs the changes that it
+ * cannot read from the store.
  *
  * @module
  */
