--- a/src/core/catalog/catalog.ts
+++ b/src/core/catalog/catalog.ts
@@ -86,7 +86,7 @@
     return priority <= (this.#topPriorities.get(service) ?? priority);
   }
 
-  /** Returns the name of the service that the next request on `route` is sent to. */
+  /** Chooses the service for the next request on `route` and returns its name. */
   chooseDestination(route: Route): string {
     if (route.destinations.length === 1) return route.destinations[0].service;
     let rotation = this.#rotations.get(route.name);
--- a/src/core/declaration/check.ts
+++ b/src/core/declaration/check.ts
@@ -1,6 +1,6 @@
 /**
- * Checks the rules of a declaration, the configuration files that operators write, that
- * span several documents. The schema of one document cannot express them.
+ * Checks a declaration, the configuration files that operators write, against rules that
+ * span several documents and that the schema of one document therefore cannot express.
  *
  * @module
  */
