--- a/src/core/exchange/peer_exchange.ts
+++ b/src/core/exchange/peer_exchange.ts
@@ -136,19 +136,20 @@
   }
 
   /** Handles a server's refusal of a request for a key that, to this VM's knowledge, is
-   * assigned to the server. This VM may have missed a change, so it reports early. */
+   * assigned to the server. This VM may have missed a change, so its next report is
+   * urgent. */
   keyRefused(): void {
     this.followerLink.expedite();
   }
 
   /** Handles the start or end of a rate limit that a server reported to this VM. The next
-   * report to the term holder is sent early, so that the other VMs receive the change. */
+   * report to the term holder is urgent, so that the other VMs receive the change. */
   rateLimitChanged(change: ServerRateLimitChange, now: number): void {
     this.clusterState.logRateLimitChange(change, now);
     this.followerLink.expedite();
   }
 
-  /** Time by which {@linkcode advance} must be called for an early or a first report;
+  /** Time by which {@linkcode advance} must be called for an urgent or a first report;
    * Infinity if there is none. */
   nextAt(): number {
     return this.campaign.holder === null
--- a/src/core/peers/follower_link.ts
+++ b/src/core/peers/follower_link.ts
@@ -3,7 +3,7 @@
  *
  * The follower regularly reports to the holder which keys its callers request, and
  * receives each change of the key assignments when it is made. When its state appears
- * out of date, it sends a report early and repeats it until it is answered, because a
+ * out of date, it sends an urgent report and repeats it until it is answered, because a
  * connection can fail without an error. While the holder does not answer, the follower
  * reads the assignments from the store instead.
  *
@@ -52,7 +52,7 @@
   kind: "assignments.fetch";
 }
 
-/** A report that is sent before the regular interval has passed. */
+/** An urgent report, which is sent before the regular interval has passed. */
 interface UrgentReport {
   /** When it was first sent; Infinity before that. */
   sentAt: number;
@@ -115,7 +115,7 @@
     this.#receivedAt = now;
   }
 
-  /** Makes the next report due early because this VM's state appears out of date. */
+  /** Makes the next report urgent because this VM's state appears out of date. */
   expedite(): void {
     this.#urgentReport ??= {
       sentAt: Infinity,
