--- a/test/ownership/cold_servers_test.ts
+++ b/test/ownership/cold_servers_test.ts
@@ -1,8 +1,8 @@
 /**
  * All servers of a zone return under load. They are cold and crash again if they receive
- * too many requests. Each of 61 VMs sends a request to a given server once in several
- * seconds only, but if each VM sends one at the moment in which it learns of the server's
- * return, the server receives four times as many requests as it can run.
+ * too many requests. One VM of 61 sends a request to a given server only once in several
+ * seconds, but if every VM sends one as soon as it learns of the server's return, the
+ * server receives four times as many requests as it can run.
  */
 import test from "ava";
 import type { LoadOptions } from "./request_load.ts";
@@ -24,7 +24,7 @@
   warmUp: { duration: 3_000, requestsPerSecond: 4.3, crashRate: 14 },
 };
 
-/** Indexes of the servers in one of the four zones. */
+/** Indexes of the servers in one of the four availability zones. */
 const ZONE_SERVERS = [1, 5, 9, 13, 17, 21];
 
 const FAULT_CASES: [string, Fault[]][] = [
--- a/test/ownership/configuration_test.ts
+++ b/test/ownership/configuration_test.ts
@@ -1,8 +1,8 @@
 /**
  * A sequence of configurations on 50 VMs, most of which receive store updates from the
  * term holder, with overlapping faults: a holder that is cut off, killed, frozen or shut
- * down, and a store that is down or loses answers without an error. A VM without a fault
- * for three seconds must have each version within 2 s.
+ * down, and a store that is down or loses answers without an error. A VM that has had no
+ * fault for 3 s must have each version within 2 s.
  */
 import test from "ava";
 import { uniformFloat64 } from "../../src/core/random.ts";
@@ -13,7 +13,7 @@
 } from "./simulation.ts";
 
 const VMS = 50;
-/** Number of VMs that may hold the term. */
+/** Number of VMs whose fitness permits them to hold the term. */
 const FIT_VMS = 5;
 const DURATION = 40_000;
 /** Maximum time for which a VM without a fault may lack a version, in milliseconds. */
@@ -86,7 +86,8 @@
   });
   const versions = DURATION / 5_000;
   const reads = storeCalls.get("configuration") ?? 0;
-  // The VMs that may hold the term read it, and others until the first holder is elected.
+  // The VMs that may hold the term read it, and the others until the first holder is
+  // elected.
   t.true(reads <= 1.5 * FIT_VMS * versions, `${reads} reads`);
   t.true(configurationLag <= 800, `${configurationLag} ms`);
 });
--- a/test/ownership/crashing_request_test.ts
+++ b/test/ownership/crashing_request_test.ts
@@ -18,10 +18,10 @@
 
 /** Number of servers that a request may crash before it is quarantined. */
 const ALLOWED_CRASHES = 3;
-/** Time that VMs may take to learn of the last of these crashes, in milliseconds.
- * Repeats are counted after that. */
-const LEARNING_TIME = 3_000;
-/** Number of repeats that may still be run after that. */
+/** Time allowed for VMs to learn of the last of these crashes, in milliseconds. Runs that
+ * start later are counted as late. */
+const PROPAGATION_TIME = 3_000;
+/** Maximum number of late runs. */
 const ALLOWED_RUNS = 3;
 /** Minimum share of the other requests that are served once the request is quarantined:
  * all but those on the few servers that still crash. */
@@ -74,13 +74,12 @@
   });
 }
 
-/** Counts the runs of the crashing request after the time that VMs may take to learn of
- * it. */
+/** Counts the late runs of the crashing request. */
 function lateRuns(
-  { serverCrashTimes: serverEnds, load }: SimulationReport,
+  { serverCrashTimes, load }: SimulationReport,
 ): number {
-  const last = serverEnds[ALLOWED_CRASHES - 1] ?? Infinity;
-  const isLate = ({ at }: { at: number }) => at > last + LEARNING_TIME;
+  const last = serverCrashTimes[ALLOWED_CRASHES - 1] ?? Infinity;
+  const isLate = ({ at }: { at: number }) => at > last + PROPAGATION_TIME;
   return load!.crashingRuns.filter(isLate).length;
 }
 
@@ -95,14 +94,14 @@
   return served.length / others.length;
 }
 
-const KINDS: [string, Partial<LoadOptions>][] = [
+const REQUEST_KINDS: [string, Partial<LoadOptions>][] = [
   ["keyed, idempotent", {}],
   ["keyed, not idempotent", { isIdempotent: false }],
   ["without keys, idempotent", { isKeyed: false }],
   ["without keys, not idempotent", { isKeyed: false, isIdempotent: false }],
 ];
 
-for (const [name, load] of KINDS) {
+for (const [name, load] of REQUEST_KINDS) {
   test(`a request that crashes its servers: ${name}, it is quarantined at all VMs`, (t) => {
     for (const seed of [1, 2, 3]) {
       const report = simulate({ vms: 11, seed, load });
@@ -115,19 +114,19 @@
   });
 }
 
-/** Counts the runs after the time that VMs may take to learn of the third run, also if
- * one server crashed with several of them. */
+/** Counts the runs that start more than {@linkcode PROPAGATION_TIME} after the third run.
+ * One server may have crashed during several of the first three runs. */
 function runsAfterThird({ load }: SimulationReport): number {
-  const { crashingRuns: endingRuns } = load!;
-  const third = endingRuns[ALLOWED_CRASHES - 1]?.at ?? Infinity;
-  return endingRuns.filter(({ at }) => at > third + LEARNING_TIME).length;
+  const { crashingRuns } = load!;
+  const third = crashingRuns[ALLOWED_CRASHES - 1]?.at ?? Infinity;
+  return crashingRuns.filter(({ at }) => at > third + PROPAGATION_TIME).length;
 }
 
 /** Copies arrive at all VMs at the same time: those that wait while their key has no
  * server are all sent to its next server at once. */
 const COPIES: CrashingRequest = { ...CRASHING_REQUEST, copies: 6 };
 
-for (const [name, load] of KINDS) {
+for (const [name, load] of REQUEST_KINDS) {
   test(`a request that crashes its servers: ${name}, copies through all VMs at once`, (t) => {
     for (const vms of [11, 61]) {
       for (const seed of [1, 2, 3]) {
@@ -204,8 +203,8 @@
   }
 });
 
-/** Number of servers, so high that some are left to crash: while the store is down, VMs
- * do not learn of servers that return. */
+/** Number of servers. While the store is down, VMs do not learn of servers that return,
+ * so there must be enough for all repeats. */
 const MANY_SERVERS = 24;
 const SLOW_REPEATS: CrashingRequest = { ...CRASHING_REQUEST, interval: 1_000 };
 
@@ -301,8 +300,8 @@
   });
 }
 
-/** Time after a fault for which a VM may still lack updates, including the time that a
- * process takes to restart, in milliseconds. */
+/** Time after a fault for which a VM may still lack crash records, including the time
+ * that its process takes to restart, in milliseconds. */
 const CATCH_UP_TIME = 4_500;
 const SCHEDULES = 40;
 
@@ -326,14 +325,15 @@
       fault.kind.startsWith("vm.") && fault.target % vms === vm &&
       fault.at <= at && at <= fault.at + fault.duration + CATCH_UP_TIME
     );
-  const { crashingRuns: endingRuns, quarantined } = report.load!;
+  const { crashingRuns, quarantined } = report.load!;
   const firstRuns = new Map<string, number>();
-  for (const { server, at } of endingRuns) {
+  for (const { server, at } of crashingRuns) {
     if (!firstRuns.has(server)) firstRuns.set(server, at);
   }
   const third = [...firstRuns.values()][ALLOWED_CRASHES - 1] ?? Infinity;
-  const late = endingRuns.filter(({ at, vm }) =>
-    at > third + CRASHING_REQUEST.work + LEARNING_TIME && !isDisturbed(vm, at)
+  const late = crashingRuns.filter(({ at, vm }) =>
+    at > third + CRASHING_REQUEST.work + PROPAGATION_TIME &&
+    !isDisturbed(vm, at)
   );
   const harmless = quarantined.filter((each) => !each.isCrashing);
   const { violations } = report;
--- a/test/ownership/evacuation_test.ts
+++ b/test/ownership/evacuation_test.ts
@@ -7,11 +7,12 @@
 import type { LoadOptions } from "./request_load.ts";
 import { type Fault, Simulation, type SimulationReport } from "./simulation.ts";
 
-/** Time after which no request may be sent to the zone, in milliseconds. */
+/** Time after the operators' request from which no request may be sent to the zone, in
+ * milliseconds. */
 const EVACUATION_TIME = 5_000;
-/** Time within which all VMs know of an evacuation while the store is available, in
+/** Maximum time until all VMs know of an evacuation while the store is available, in
  * milliseconds. */
-const KNOWN_WITHIN = 1_000;
+const PROPAGATION_TIME = 1_000;
 /** Minimum share of the requests that are served while the keys move and later. */
 const SERVED_SHARE = 0.97;
 const FROM = 12_000;
@@ -57,6 +58,8 @@
   });
 }
 
+/** Returns the share of the requests sent during the evacuation and later that were
+ * served. */
 function servedShare({ load }: SimulationReport): number {
   const results = load!.results.filter(({ startedAt }) => startedAt >= FROM);
   const served = results.filter(({ name }) =>
@@ -77,7 +80,7 @@
         );
         t.is(late.length, 0, `seed ${seed}`);
         t.true(
-          report.evacuationLag <= KNOWN_WITHIN,
+          report.evacuationLag <= PROPAGATION_TIME,
           `seed ${seed}: all VMs know after ${report.evacuationLag} ms`,
         );
         const served = servedShare(report);
--- a/test/ownership/model_server.ts
+++ b/test/ownership/model_server.ts
@@ -9,7 +9,7 @@
   ReleaseOrder,
 } from "../../src/core/keyspace/index.ts";
 
-/** Real duration of one unit of time on the server's clock, which runs as slow as its
+/** Real time in which the server's clock advances by one. The clock is as slow as its
  * specification permits. */
 const CLOCK_DRIFT = 1.02;
 
@@ -29,7 +29,7 @@
 export class ModelServer {
   isUp = true;
   leases: KeyLease[] = [];
-  /** The most recent grant of every key that it has ever held. */
+  /** The latest grant of every key on which it has ever held a lease. */
   grants: KeyGrant[] = [];
   /** Ranges and tokens of all orders received. */
   readonly #receivedOrders: KeyGrant[] = [];
@@ -57,8 +57,8 @@
     );
   }
 
-  /** Executes, at `now`, a grant that arrived at `arrivedAt`. Earlier leases that expire
-   * later stay in effect. */
+  /** Executes a grant that arrived at `arrivedAt`, at time `now`. Existing leases that
+   * expire later than the new one stay in effect. */
   grant(order: GrantOrder, arrivedAt: number, now: number): KeyLease {
     this.#receivedOrders.push(order);
     const { first, last, token } = order;
--- a/test/ownership/model_store.ts
+++ b/test/ownership/model_store.ts
@@ -19,10 +19,11 @@
 
 /** See the module's comment. */
 export class ModelStore {
+  /** Position after the last record of the log. */
   end = 0;
   #epoch = 0;
   #sequence = 0;
-  /** Sequences of the most recent appends of the epoch. */
+  /** Sequence numbers of the most recent appends of the epoch. */
   #appended: number[] = [];
   #term = 0;
   #generation = 0;
@@ -46,10 +47,10 @@
     };
   }
 
-  /** Claims a term if the log still ends at `expectedEnd`. All VMs are one producer to
-   * the store, so it treats a claim with the same term and sequence as a retry, also one
-   * by another VM, and returns the first result again whether the condition holds or
-   * not. */
+  /** Claims a term if the log still ends at `expectedEnd`. All VMs append as the same
+   * producer, so the store treats a claim with the same term and sequence number as a
+   * retry, even if another VM sent it. It then returns the first result again and does
+   * not check the condition. */
   claim(term: number, expectedEnd: number, sequence: number): WriteResult {
     if (this.#isRepeat(term, sequence)) return "done";
     if (expectedEnd !== this.end || term <= this.#epoch) return "superseded";
@@ -61,7 +62,7 @@
     return "done";
   }
 
-  /** Records assignments; a retry with the same sequence changes nothing. */
+  /** Records assignments; a retry with the same sequence number changes nothing. */
   write(
     term: number,
     sequence: number,
@@ -97,7 +98,7 @@
     this.#remove(id);
   }
 
-  /** Elects a random member, as in a rebalance of the group that no member caused. */
+  /** Elects a random member, like a rebalance of the group that no member caused. */
   rebalance(draw: () => number): void {
     const ids = [...this.#members.keys()];
     if (ids.length === 0) return;
--- a/test/ownership/overload_test.ts
+++ b/test/ownership/overload_test.ts
@@ -1,10 +1,10 @@
 /**
  * One key receives a fifth of the requests of many VMs, ten times as many as its server
  * can run. Guards against requests that are reset because the server's queue is full:
- * with 195 VMs this affected nine tenths of them, on almost every retry again, because
- * no VM sent enough requests to the server to detect the overload. Callers received
- * 502, which means that the request may have run, and the others waited beyond their
- * target latency.
+ * with 195 VMs nine tenths of them were reset, and almost every retry as well, because no
+ * VM sent enough requests to the server to detect the overload. Their callers received
+ * status 502, which means that the request may have run, and the other requests waited
+ * beyond their target latency.
  */
 import test from "ava";
 import type { LoadCounts, LoadOptions } from "./request_load.ts";
@@ -15,7 +15,7 @@
 /** Time from which all VMs know of the overload: they have sent their reports to the term
  * holder, which has evaluated and answered them. */
 const KNOWN_FROM = BUSY_FROM + 1_500;
-/** Time from which the server has run the requests that filled its queue until then. */
+/** Time by which the server has run the requests that had filled its queue. */
 const SETTLED_FROM = BUSY_FROM + 4_000;
 const LOAD: LoadOptions = {
   from: 9_000,
@@ -31,13 +31,13 @@
     now >= BUSY_FROM && draw() < 0.2 ? BUSY_KEY : Math.floor(draw() * 65_536),
 };
 
-/** Share of the requests with the result `name`. */
+/** Returns the share of the requests with the result `name`. */
 function share(counts: LoadCounts, name: "inTime" | "refused" | "failed") {
   const { inTime, late, refused, failed } = counts;
   return counts[name] / (inTime + late + refused + failed);
 }
 
-test("overload of one key: its requests are rejected at once and other keys are not affected", (t) => {
+test("overload of one key: its requests are shed at once and other keys are not affected", (t) => {
   const { load, violations } = Simulation.runToEnd({
     vms: 80,
     servers: 90,
@@ -51,7 +51,7 @@
   const busy = load!.counts((key) => key === BUSY_KEY);
   const others = load!.counts((key) => key !== BUSY_KEY);
   const wait = busy.refusalTime / busy.refusals;
-  t.true(wait < 50, `rejected after ${wait} ms on average`);
+  t.true(wait < 50, `shed after ${wait} ms on average`);
   const failedShare = (isBusy: boolean) => {
     const from = isBusy ? KNOWN_FROM : SETTLED_FROM;
     const some = load!.results.filter(({ key, startedAt }) =>
@@ -61,14 +61,14 @@
   };
   t.true(
     failedShare(true) < 0.03,
-    `${failedShare(true)} of the busy key's failed`,
+    `${failedShare(true)} of the busy key's requests failed`,
   );
   t.true(
     failedShare(false) < 0.005,
-    `${failedShare(false)} of the others failed`,
+    `${failedShare(false)} of the other requests failed`,
   );
   const othersInTime = share(others, "inTime");
-  t.true(othersInTime > 0.85, `${othersInTime} of the others in time`);
+  t.true(othersInTime > 0.85, `${othersInTime} of the other requests in time`);
   // Except in the first second, the server receives no more requests than it can run.
   t.true(load!.resets < 0.06 * load!.arrivals, `${load!.resets} resets`);
 });
--- a/test/ownership/ownership_test.ts
+++ b/test/ownership/ownership_test.ts
@@ -167,7 +167,7 @@
 });
 
 // Guards against VMs of low fitness that take the term after a store outage. Without the
-// store no VM has authority, so no heartbeat says that a fit VM is running, and all VMs
+// store no VM has authority, so no heartbeat shows that a fit VM is running, and all VMs
 // become candidates when the store returns. With 74 VMs, 8 of them fit, two VMs of low
 // fitness held the term in turn after an outage of 8 s; for 5 s, servers rejected four
 // fifths of the keyed requests because the leases on their keys had expired.
@@ -214,11 +214,11 @@
   t.true(others.length > 0, report.holders.join());
 });
 
-// Guards against a livelock: an order that is 30 ms old may not open a connection, and
-// the orders of one step are sent once all are created. A slow VM that takes over the
-// term needs more than 0.1 s to create 300 orders. If all are created in one step, all
-// are withheld, created again in the next step and withheld again, as long as it is
-// holder.
+// Guards against a livelock: an order that is more than 30 ms old may not open a
+// connection, and the orders of one step are sent once all are created. A slow VM that
+// takes over the term needs more than 0.1 s to create 300 orders. If it creates all of
+// them in one step, all are withheld, created again in the next step and withheld again,
+// as long as it holds the term.
 test("a slow VM that takes over the term grants all keys", (t) => {
   const report = Simulation.runToEnd({
     vms: 2,
@@ -305,10 +305,10 @@
 });
 
 // Guards against an order of a former holder that reaches a restarted server. A holder
-// without contact to the store and its peers keeps its authority for 2 s, but its
+// that is cut off from the store and its peers keeps its authority for 2 s, but its
 // successor is elected after 1.3 s. If a server to which the successor has granted keys
 // restarts with the same id, an order of the former holder can be the first one that
-// the new process receives. This violated the rule in 6 of 3,000 random schedules of
+// the new process receives. This violated exclusive ownership in 6 of 3,000 random schedules of
 // restarts.
 test("a former holder grants no keys to a restarted server", (t) => {
   t.is(findViolation(isolatedHolderSchedules, 200, {}), null);
--- a/test/ownership/rate_limit_test.ts
+++ b/test/ownership/rate_limit_test.ts
@@ -1,6 +1,7 @@
 /**
- * Servers that report a limit on the requests per second from all VMs combined. VMs do
- * not see the requests of other VMs, and a key has only one server.
+ * Servers that report a limit on the requests per second from all VMs combined. A VM does
+ * not see the requests of other VMs, and requests for a key cannot be sent to another
+ * server.
  */
 import test from "ava";
 import type {
@@ -13,25 +14,26 @@
 const FROM = 8_000;
 const LIMITED_UNTIL = 22_000;
 const UNTIL = 30_000;
-/** Time allowed for VMs to apply a new limit, and length of the window in which
- * requests are counted. */
-const NOTICE_TIME = 3_000;
+/** Time allowed for VMs to apply a new limit, in milliseconds. */
+const PROPAGATION_TIME = 3_000;
+/** Length of the window in which requests are counted, in milliseconds. */
 const WINDOW = 4_000;
-/** Time after the end of a limit by which all VMs have learned of it. */
+/** Time allowed for VMs to detect the end of a limit, in milliseconds. */
 const RECOVERY_TIME = 3_000;
 const SERVERS = 8;
-/** Time allowed for keys to move away from a server once VMs apply its limit. */
+/** Time allowed for keys to move away from a server once VMs apply its limit, in
+ * milliseconds. */
 const MOVE_TIME = 2_000;
 
-/** Maximum requests per window that the specification of the limit permits. */
+/** Returns the maximum number of requests per window that the specification permits. */
 function allowed(requestsPerSecond: number): number {
   return 1.5 * requestsPerSecond * WINDOW / 1_000 + 5;
 }
 
-/** Maximum requests that one server received in a window, from VMs that must
- * apply the limit by then. */
+/** Returns the maximum number of requests that one server received in a window, from VMs
+ * that must apply the limit by then. */
 function mostInWindow(arrivals: readonly LimitedArrival[]): number {
-  const from = FROM + NOTICE_TIME;
+  const from = FROM + PROPAGATION_TIME;
   const counted = arrivals.filter(({ at, isLimitKnown }) =>
     isLimitKnown && at >= from
   );
@@ -43,12 +45,13 @@
   return Math.max(0, ...counts);
 }
 
-/** Mean requests per second that each limited server received while limited. */
+/** Returns the mean requests per second that each limited server received while
+ * limited. */
 function meanRate(
   arrivals: readonly LimitedArrival[],
   servers: number,
 ): number {
-  const from = FROM + NOTICE_TIME;
+  const from = FROM + PROPAGATION_TIME;
   const count = arrivals.filter(({ at }) => at >= from).length;
   return count * 1_000 / (LIMITED_UNTIL - from) / servers;
 }
@@ -113,7 +116,7 @@
   return isKeyed ? 2 : 1;
 }
 
-/** Share of the requests started between `from` and `until` that were served within
+/** Returns the share of the requests started between `from` and `until` that were served within
  * the target latency. */
 function servedShare(load: RequestLoad, from: number, until: number): number {
   const results = load.results.filter(({ startedAt }) =>
@@ -148,12 +151,12 @@
     }
   }
 
-  // Guards against requests for keys being rejected as long as their server is limited,
-  // although other servers have spare capacity.
+  // Guards against requests for keys that are refused as long as their server reports a
+  // limit, although other servers have spare capacity.
   test(`keys move away from servers with a limit of ${requestsPerSecond} requests per second, ${vms} VMs`, (t) => {
     const { load, violations } = simulate(vms, requestsPerSecond, true, []);
     t.deepEqual(violations, []);
-    const from = FROM + NOTICE_TIME + MOVE_TIME;
+    const from = FROM + PROPAGATION_TIME + MOVE_TIME;
     const served = servedShare(load!, from, LIMITED_UNTIL);
     t.true(served > 0.95, `${served} served in time`);
   });
--- a/test/ownership/request_load.ts
+++ b/test/ownership/request_load.ts
@@ -18,12 +18,12 @@
 const CALLER_HOP = 8;
 /** One-way delay between a VM and a server, in milliseconds. */
 const SERVER_HOP = 1;
-/** Standard deviation of the logarithm of the work of a request; that of the work itself
- * is then 0.8 of the mean. */
+/** Standard deviation of the logarithm of a request's processing time. The standard
+ * deviation of the processing time itself is then 0.8 of its mean. */
 const WORK_SIGMA = 0.7;
-/** Time after which a VM that has forwarded an answer with a limit must apply the limit,
+/** Time after which a VM that has forwarded an response with a limit must apply the limit,
  * in milliseconds. */
-const LIMIT_NOTICE_TIME = 500;
+const LIMIT_PROPAGATION_TIME = 500;
 /** Maximum delay before a retry that callers accept, as a share of the remaining time. */
 const MAXIMUM_DELAY_SHARE = 1 / 3;
 
@@ -49,7 +49,7 @@
   queue: number;
   /** Time within which callers should receive a response, in milliseconds. */
   target: number;
-  /** Time after which callers expect no response any more, in milliseconds. */
+  /** Timeout of a caller's request, in milliseconds. */
   timeout: number;
   /** Whether requests may be run more than once; true if left out. */
   isIdempotent?: boolean;
@@ -64,7 +64,7 @@
   rateLimit?: ReportedRateLimit;
 }
 
-/** A rate limit that servers report with their answers. Times are milliseconds. */
+/** A rate limit that servers report with their responses. Times are milliseconds. */
 export interface ReportedRateLimit {
   from: number;
   until: number;
@@ -78,7 +78,7 @@
   server: string;
   at: number;
   /** Whether its VM had forwarded an answer with the limit at least
-   * {@linkcode LIMIT_NOTICE_TIME} before. */
+   * {@linkcode LIMIT_PROPAGATION_TIME} before. */
   isLimitKnown: boolean;
 }
 
@@ -97,7 +97,7 @@
 export interface CrashingRequest {
   from: number;
   until: number;
-  /** Time between two repeats, whatever the result of the first one. */
+  /** Time between two repeats. They don't wait for a response. */
   interval: number;
   key: number;
   /** Time for which a server runs it before it crashes. */
@@ -106,8 +106,8 @@
   copies?: number;
 }
 
-/** Results of the requests for a key, one for each caller, and counts of their
- * attempts. */
+/** Number of requests for a key by result, one result for each caller, and counts of
+ * their attempts. */
 export interface LoadCounts {
   inTime: number;
   late: number;
@@ -115,9 +115,9 @@
   failed: number;
   /** Requests that callers sent, retries included. */
   attempts: number;
-  /** Longest time until an attempt was rejected, in milliseconds. */
+  /** Longest time until an attempt was refused, in milliseconds. */
   longestRefusal: number;
-  /** Total time until attempts were rejected, in milliseconds. */
+  /** Total time until attempts were refused, in milliseconds. */
   refusalTime: number;
   refusals: number;
 }
@@ -208,16 +208,16 @@
   readonly #coldArrivals = new Map<string, number[]>();
   /** Result of each caller's request. */
   readonly results: (Caller & { name: string; took: number })[] = [];
-  /** Longest time beyond a caller's deadline that a server was granted, in
-   * milliseconds. */
+  /** Longest time by which the deadline of a request sent to a server exceeded that of
+   * its caller, in milliseconds. */
   longestOverrun = -Infinity;
-  /** Requests that were rejected because they are quarantined, and when. */
+  /** Requests that were refused because they are quarantined, with the time. */
   readonly quarantined: (Caller & { at: number })[] = [];
   /** Requests that reached servers while they reported a limit. */
   readonly limitedArrivals: LimitedArrival[] = [];
-  /** When a VM first forwarded an answer with a limit, by VM and server. */
+  /** When a VM first forwarded an response with a limit, by VM and server. */
   readonly #limitSentAt = new Map<string, number>();
-  /** When the crashing request was started, by which server, and for which VM. */
+  /** Runs of the crashing request: the start time, the server, and the VM that sent it. */
   readonly crashingRuns: { at: number; server: string; vm: number }[] = [];
 
   private constructor(
@@ -236,9 +236,12 @@
   ): RequestLoad {
     const load = new RequestLoad(options, time, draw, system);
     time.after(options.from, () => load.#sendNext());
-    const { crashingRequest: ending } = options;
-    if (ending !== undefined) {
-      time.after(ending.from, () => load.#sendCrashing(ending));
+    const { crashingRequest } = options;
+    if (crashingRequest !== undefined) {
+      time.after(
+        crashingRequest.from,
+        () => load.#sendCrashing(crashingRequest),
+      );
     }
     return load;
   }
@@ -263,7 +266,7 @@
 
   /** Sums the results of the requests whose key passes `filter`. */
   counts(filter: (key: number) => boolean): LoadCounts {
-    const sum = noCounts();
+    const sum = zeroCounts();
     for (const [key, counts] of this.#counts) {
       if (!filter(key)) continue;
       for (const name of Object.keys(sum) as (keyof LoadCounts)[]) {
@@ -303,7 +306,7 @@
     if (request !== undefined) request.isEnded = true;
   }
 
-  /** Delivers a server's answer from a VM to the caller. */
+  /** Delivers a server's response from a VM to the caller. */
   deliver(exchange: number): void {
     const { caller } = this.#takeExchange(exchange);
     const took = this.time.now + CALLER_HOP - caller.startedAt;
@@ -356,18 +359,18 @@
     this.time.after(pause, () => this.#sendNext());
   }
 
-  #sendCrashing(ending: CrashingRequest): void {
-    if (this.time.now >= ending.until) return;
-    for (let copy = 0; copy < (ending.copies ?? 1); copy++) {
+  #sendCrashing(request: CrashingRequest): void {
+    if (this.time.now >= request.until) return;
+    for (let copy = 0; copy < (request.copies ?? 1); copy++) {
       this.#submit({
-        key: ending.key,
-        target: "/ends-its-server",
+        key: request.key,
+        target: "/crashes-its-server",
         startedAt: this.time.now,
         attempts: 0,
         isCrashing: true,
       });
     }
-    this.time.after(ending.interval, () => this.#sendCrashing(ending));
+    this.time.after(request.interval, () => this.#sendCrashing(request));
   }
 
   #submit(caller: Caller): void {
@@ -412,7 +415,7 @@
     const isAddressee = this.system.isListening(server, address);
     if (!isAddressee || (!isHeld && (this.options.isKeyed ?? true))) {
       this.misdirected += 1;
-      return this.#end(request, this.#answer(server, 421, true));
+      return this.#end(request, this.#createResponse(server, 421, true));
     }
     if (this.#isOverloadedCold(server)) {
       this.coldCrashes += 1;
@@ -433,7 +436,7 @@
     load.waiting.push(request);
     this.time.after(Math.max(0, request.deadline - this.time.now), () => {
       if (request.hasSlot || request.isEnded) return;
-      this.#end(request, this.#answer(server, 503, true));
+      this.#end(request, this.#createResponse(server, 503, true));
     });
   }
 
@@ -442,7 +445,7 @@
     if (this.#rateLimit(server) === null) return;
     const at = this.time.now;
     const limitSentAt = this.#limitSentAt.get(nameOf(vm, server)) ?? Infinity;
-    const isLimitKnown = at - limitSentAt >= LIMIT_NOTICE_TIME;
+    const isLimitKnown = at - limitSentAt >= LIMIT_PROPAGATION_TIME;
     this.limitedArrivals.push({ server, at, isLimitKnown });
   }
 
@@ -486,7 +489,10 @@
       load.running -= 1;
       const isOver = this.time.now >= request.deadline;
       if (!request.isEnded) {
-        this.#end(request, this.#answer(server, isOver ? 504 : 200, false));
+        this.#end(
+          request,
+          this.#createResponse(server, isOver ? 504 : 200, false),
+        );
       }
       this.#startQueued(server);
     });
@@ -499,7 +505,7 @@
     });
   }
 
-  /** Resets all requests at a server that has ended. */
+  /** Resets all requests at a server that has crashed. */
   serverLost(server: string): void {
     this.#loads.delete(server);
     for (const request of [...this.#requests.values()]) {
@@ -512,7 +518,8 @@
     }
   }
 
-  /** Draws the work of a request as a share of the mean; log-normally distributed. */
+  /** Draws the processing time of a request as a multiple of the mean, from a log-normal
+   * distribution. */
   #workFactor(): number {
     const radius = Math.sqrt(-2 * Math.log(1 - this.draw()));
     const normal = radius * Math.cos(2 * Math.PI * this.draw());
@@ -528,10 +535,14 @@
     }
   }
 
-  #answer(server: string, status: number, isNotRun: boolean): AttemptOutcome {
+  #createResponse(
+    server: string,
+    status: number,
+    isNotRun: boolean,
+  ): AttemptOutcome {
     const { running, waiting } = this.#loadOf(server);
     const queued = waiting.filter((each) => !each.isEnded).length;
-    const answer = {
+    const response = {
       rateLimit: this.#rateLimit(server),
       kind: "answered" as const,
       status,
@@ -540,7 +551,7 @@
       server,
       load: { running, waiting: queued, slots: this.options.slots },
     };
-    return answer;
+    return response;
   }
 
   #end(request: ServerRequest, outcome: AttemptOutcome): void {
@@ -571,22 +582,22 @@
   }
 
   #takeExchange(exchange: number): Exchange {
-    const exchangeState = this.#exchanges.get(exchange)!;
+    const found = this.#exchanges.get(exchange)!;
     this.#exchanges.delete(exchange);
-    return exchangeState;
+    return found;
   }
 
   #countsOf({ key }: Caller): LoadCounts {
     let counts = this.#counts.get(key);
     if (counts === undefined) {
-      counts = noCounts();
+      counts = zeroCounts();
       this.#counts.set(key, counts);
     }
     return counts;
   }
 }
 
-function noCounts(): LoadCounts {
+function zeroCounts(): LoadCounts {
   return {
     inTime: 0,
     late: 0,
--- a/test/ownership/schedule.ts
+++ b/test/ownership/schedule.ts
@@ -29,7 +29,8 @@
 
 /** Length of a simulation, in milliseconds. */
 const DURATION = 40_000;
-/** Latest start of a fault, in milliseconds: its effects have to show by the end. */
+/** Latest start of a fault, in milliseconds, so that its effects appear before the
+ * simulation ends. */
 const LAST_FAULT_AT = 28_000;
 
 const fault = fc.record({
@@ -107,7 +108,7 @@
   target: fc.nat(15),
 });
 
-/** A term holder that loses the store and all peers, so that others elect another while
+/** A term holder that loses the store and all peers, so that another VM is elected while
  * it still has authority. */
 const holderIsolation = fc.integer({ min: 4_000, max: 16_000 }).map(
   (at): Fault[] => [
@@ -161,8 +162,8 @@
     seed: fc.nat(),
   });
 
-/** Simulations in which orders are lost and the registry contains entries of another
- * writer. */
+/** Simulations in which the registry contains entries of another writer, in addition to
+ * other faults. */
 export const foreignEntrySchedules: fc.Arbitrary<SimulationOptions> = fc.record(
   {
     vms: fc.integer({ min: 1, max: 3 }),
--- a/test/ownership/simulation.ts
+++ b/test/ownership/simulation.ts
@@ -1,7 +1,7 @@
 /**
  * Simulates entry processes, the store and keyed servers under virtual time, with
  * faults. Checks at each grant that no other server process holds a lease on the keys,
- * and that none has ever held them with a token that is as high.
+ * and that none has ever held them with the same or a higher token.
  *
  * @module
  */
@@ -54,10 +54,10 @@
 /** Upper bound of the time between the end of a server process and the start of the next
  * one, in milliseconds. */
 const MAXIMUM_DOWNTIME = 600;
-/** Maximum time after a suspension until peers retransmit what was lost in it, in
- * milliseconds: the retransmission timeout of their kernels, which doubles. */
+/** Maximum time after a suspension until peers retransmit what was lost during it, in
+ * milliseconds. Their kernels double the retransmission timeout after each attempt. */
 const MAXIMUM_RESEND_DELAY = 1_500;
-/** Rate of an uptime that is read from another machine. */
+/** Rate, relative to real time, of an uptime clock that belongs to another machine. */
 const FOREIGN_RATE = 0.7;
 /** Time after which a lost server is replaced, in milliseconds. */
 const RETURN_TIME = 2_500;
@@ -68,8 +68,8 @@
 const HOLDER_INTERVAL = 900;
 /** Time between two samples of keys, in milliseconds. */
 const SAMPLE_INTERVAL = 40;
-/** Number of sequences that one process of a VM has for its writes. */
-const SEQUENCES_PER_RUN = 2 ** 20;
+/** Number of sequence numbers reserved for the writes of one process of a VM. */
+const SEQUENCES_PER_PROCESS = 2 ** 20;
 /** Upper bound of the number of VMs in a simulation. */
 const MAXIMUM_VMS = 2 ** 10;
 /** Time between two checks of the configuration versions that VMs have, in
@@ -97,10 +97,10 @@
     | "server.join"
     /** The server restarts with the same id and address, and without state. */
     | "server.restart"
-    /** The server ends, and another process with an id of its own takes the address. */
+    /** The server ends, and another process with a different id starts at its address. */
     | "server.replaced"
-    /** The server crashes and resets all its requests; some seconds later another
-     * process with an id of its own takes the address. */
+    /** The server crashes and resets all its requests. Some seconds later another
+     * process with a different id starts at its address. */
     | "server.lost"
     /** All VMs but the first one are cut off from the server. */
     | "server.cut_from_vms"
@@ -116,7 +116,7 @@
     | "orders.lost";
   at: number;
   duration: number;
-  /** Which VM or server, taken modulo their number. */
+  /** Index of the VM or server, taken modulo their number. */
   target: number;
 }
 
@@ -129,9 +129,10 @@
   seed: number;
   /** Fitness of each VM to hold the term; the same for all if left out. */
   fitness?: readonly number[];
-  /** Lease timing of the first VM that differs from the default, to violate a rule. */
+  /** Lease timing of the first VM where it differs from the default. Tests use it to
+   * break a rule that the simulation must then report. */
   firstTiming?: Partial<LeaseTiming>;
-  /** The same for all other VMs. */
+  /** Lease timing of all other VMs where it differs from the default. */
   otherTiming?: Partial<LeaseTiming>;
   /** Time between two versions of the configuration, in milliseconds; only the first
    * version is published if left out. */
@@ -147,13 +148,13 @@
   /** Whether orders name no server, so that any process at the address accepts them. */
   isServerUnnamed?: boolean;
   /** Whether a server rejects orders as misdirected while another entry is registered
-   * with its address, so that such an entry proves that the server has ended. */
+   * with its address. The term holder then concludes that the server has ended. */
   isForeignEntryTrusted?: boolean;
   /** Whether a renewal reuses the token of the grant that it renews. */
   isTokenReused?: boolean;
   /** Whether term holders always report that the store has just answered them. */
   isStoreSilenceHidden?: boolean;
-  /** Whether VMs read the uptime of another machine. */
+  /** Whether the uptime that VMs read is that of another machine. */
   isUptimeForeign?: boolean;
   /** Whether each jump of the time of day counts as a certain suspension. */
   isClockJumpCertain?: boolean;
@@ -175,7 +176,7 @@
   moves: number;
   /** Addresses of the VMs that announced a term, in order. */
   holders: string[];
-  /** Share of the sampled keys that the server in the assignment held a lease on. */
+  /** Share of the sampled keys on which the assigned server held a lease. */
   heldShare: number;
   /** Longest time for which a VM without a fault lacked a version of the configuration,
    * in milliseconds. */
@@ -191,11 +192,11 @@
   /** Number of orders that were not sent: no connection was open, and they were not
    * allowed to open one or were too old to do so. */
   withheldOrders: number;
-  /** When each VM first quarantined a request, by VM. */
+  /** Time at which each VM first quarantined a request, by VM id. */
   quarantinedAt: Map<string, number>;
   /** Messages between VMs that contained crash records. */
   quarantineMessages: PeerMessage[];
-  /** Times at which servers were lost. */
+  /** Times at which servers crashed by a fault `server.lost` or by a request. */
   serverCrashTimes: number[];
   /** Time since the evacuation of the zone, for each request that was sent to an
    * evacuated zone. */
@@ -207,10 +208,11 @@
 /** A VM with its entry process. */
 class Vm {
   entry: Entry;
-  /** Number of restarts so far. */
-  run = 0;
+  /** Number of restarts so far; tells the processes of the VM apart. */
+  restartCount = 0;
   isUp = true;
-  /** Whether it follows the store's feeds itself. */
+  /** Whether it reads the store's feeds itself, instead of receiving store updates from
+   * the term holder. */
   isFollowing = true;
   /** Whether the answer to its long poll was lost without an error. */
   isPollLost = false;
@@ -222,7 +224,7 @@
   frozenUntil = -1;
   /** Time by which its time of day was set forward. */
   timeOfDayOffset = 0;
-  /** When it sent its last answered membership call. */
+  /** Time at which it sent the latest membership call that the store answered. */
   joinedAt = -Infinity;
   /** Time after a suspension until messages sent during it are retransmitted. */
   resendDelay = 0;
@@ -258,7 +260,7 @@
   }
 
   get id(): string {
-    return `vm-${this.index}/${this.run}`;
+    return `vm-${this.index}/${this.restartCount}`;
   }
 
   get address(): string {
@@ -280,12 +282,12 @@
       retryLimits: { ratio: 0.1, windowSeconds: 10, minimum: 10 },
       shutdown: { closeAfter: 500, stopAfter: 1_000 },
       registryTiming: { interval: 450, maximumAge: 1_200 },
-      seed: seed + this.index + 100 * this.run,
+      seed: seed + this.index + 100 * this.restartCount,
     });
   }
 
   restart(): void {
-    this.run += 1;
+    this.restartCount += 1;
     this.entry = this.create();
     this.clock = this.#createClock();
     this.isUp = true;
@@ -410,7 +412,7 @@
   #start(vm: Vm): void {
     this.#sendConfiguration(vm);
     this.#sendEvacuations(vm);
-    this.#readHolder(vm, vm.run);
+    this.#readHolder(vm, vm.restartCount);
   }
 
   #sendConfiguration(vm: Vm): void {
@@ -453,7 +455,8 @@
     this.#handle(vm, { kind: "evacuations.read", read });
   }
 
-  /** Writes an operator's request and answers the long polls that wait for it. */
+  /** Writes an operator's request to evacuate or restore a zone, and answers the long
+   * polls that wait for it. */
   #evacuate(zone: string, isOn: boolean): void {
     const { now } = this.#time;
     if (isOn) this.#evacuated.set(zone, now);
@@ -466,7 +469,8 @@
     this.#checkEvacuations(now, this.#operatorPosition);
   }
 
-  /** Checks until all running VMs know the operators' requests up to a position. */
+  /** Records how long it takes until all running VMs know the operators' requests up to
+   * `position`; stops when a later request has been written. */
   #checkEvacuations(since: number, position: number): void {
     if (position !== this.#operatorPosition) return;
     const isKnown = this.#vms.every((vm) =>
@@ -499,12 +503,12 @@
 
   /** Reads the configuration for a VM if it can reach the store. */
   #readConfiguration(vm: Vm): void {
-    const { run } = vm;
+    const { restartCount } = vm;
     this.#countCall("configuration");
     if (!this.#reachesStore(vm)) return;
     if (this.#isActive("store.loses_answers")) return;
     this.#time.after(2 * ONE_WAY_DELAY, () => {
-      if (vm.run === run) this.#sendConfiguration(vm);
+      if (vm.restartCount === restartCount) this.#sendConfiguration(vm);
     });
   }
 
@@ -519,10 +523,12 @@
         this.#isActive("vm.cut_from_peers", vm.index);
       if (isDisturbed) vm.stableSince = now;
       if (now - vm.stableSince < STABILITY_TIME) continue;
-      // Version n has index n - 1, so this is the first version that the VM lacks.
-      const lacking = this.#publications[vm.entry.clusterState.catalog.version];
-      if (lacking === undefined) continue;
-      const lag = now - lacking;
+      // Version n has index n - 1, so this is the publication of the first version that
+      // the VM lacks.
+      const missingSince =
+        this.#publications[vm.entry.clusterState.catalog.version];
+      if (missingSince === undefined) continue;
+      const lag = now - missingSince;
       this.#report.configurationLag = Math.max(
         this.#report.configurationLag,
         lag,
@@ -537,8 +543,8 @@
   }
 
   /** Reads the term holder for a VM at regular intervals until its process ends. */
-  #readHolder(vm: Vm, run: number): void {
-    if (vm.run !== run) return;
+  #readHolder(vm: Vm, restartCount: number): void {
+    if (vm.restartCount !== restartCount) return;
     if (vm.isFollowing) this.#countCall("holder");
     const mayRead = this.#reachesStore(vm) && vm.isFollowing;
     if (mayRead && this.#holder !== null) {
@@ -553,7 +559,7 @@
       });
     }
     if (mayRead) this.#handle(vm, { kind: "holder.read" });
-    this.#time.after(HOLDER_INTERVAL, () => this.#readHolder(vm, run));
+    this.#time.after(HOLDER_INTERVAL, () => this.#readHolder(vm, restartCount));
   }
 
   /** Reads the changes of the registry since position `from`; all entries if null. */
@@ -611,11 +617,11 @@
     if (!vm.isUp) return;
     const { now } = this.#time;
     if (vm.frozenUntil > now) {
-      const run = vm.run;
-      const isOwn = event.kind === "timer";
-      const delay = isOwn ? 0 : vm.resendDelay;
+      const restartCount = vm.restartCount;
+      const isTimer = event.kind === "timer";
+      const delay = isTimer ? 0 : vm.resendDelay;
       this.#time.after(vm.frozenUntil + delay - now, () => {
-        if (vm.run === run) this.#handle(vm, event);
+        if (vm.restartCount === restartCount) this.#handle(vm, event);
       });
       return;
     }
@@ -626,7 +632,7 @@
     this.#performSteps(vm, [effects], 0);
   }
 
-  /** Passes the jumps that a VM's clock detects now to the VM. */
+  /** Reads a VM's clock and passes the jumps that it detects to the VM. */
   #detectJumps(vm: Vm): EntryEffect[] {
     const jumps: ClockJump[] = [];
     const stop = vm.clock.onJump((jump) => jumps.push(jump));
@@ -648,9 +654,9 @@
     const at = vm.entry.nextAt(now);
     if (vm.timerAt <= at && vm.timerAt > now) return;
     vm.timerAt = at;
-    const run = vm.run;
+    const restartCount = vm.restartCount;
     this.#time.after(Math.max(1, at - now), () => {
-      if (vm.run !== run || vm.timerAt !== at) return;
+      if (vm.restartCount !== restartCount || vm.timerAt !== at) return;
       vm.timerAt = Infinity;
       this.#handle(vm, { kind: "timer" });
     });
@@ -763,10 +769,10 @@
         return this.#report.load!.send(vm.index, effect);
       case "server.check": {
         const { server, address } = effect;
-        const { run } = vm;
+        const { restartCount } = vm;
         return this.#time.after(2 * ONE_WAY_DELAY, () => {
           const isRefused = !this.#processAt(address)?.isUp;
-          if (vm.run !== run) return;
+          if (vm.restartCount !== restartCount) return;
           this.#handle(vm, { kind: "server.checked", server, isRefused });
         });
       }
@@ -820,8 +826,8 @@
   }
 
   #recordQuarantine({ id }: Vm): void {
-    const { quarantinedAt: heldBackAt } = this.#report;
-    if (!heldBackAt.has(id)) heldBackAt.set(id, this.#time.now);
+    const { quarantinedAt } = this.#report;
+    if (!quarantinedAt.has(id)) quarantinedAt.set(id, this.#time.now);
   }
 
   #recordCrashMessage(message: PeerMessage): void {
@@ -840,7 +846,7 @@
     return this.#store.join(vm.id, this.#time.now, TIME_TO_LIVE);
   }
 
-  /** Makes a call to the store; active faults may let the call or its answer be lost. */
+  /** Calls the store. Active faults can lose the call or its answer. */
   #callStore<T>(
     vm: Vm,
     run: () => T,
@@ -855,12 +861,12 @@
       if (event !== null) this.#handle(vm, event);
     };
     this.#restartPoll(vm, isAnswered);
-    const vmRun = vm.run;
+    const restartCount = vm.restartCount;
     this.#time.after(ONE_WAY_DELAY, () => {
       const value = isDone ? run() : null;
       const wait = isAnswered ? ONE_WAY_DELAY : STORE_TIMEOUT;
       this.#time.after(wait, () => {
-        if (vm.run === vmRun) reply(isAnswered ? value : null);
+        if (vm.restartCount === restartCount) reply(isAnswered ? value : null);
       });
     });
   }
@@ -901,10 +907,10 @@
     const isCut = isUnreachable ||
       this.#isActive("vm.cut_from_servers", vm.index);
     const sentAt = this.#time.now;
-    const run = vm.run;
+    const restartCount = vm.restartCount;
     const end = (outcome: OrderOutcome | null, delay: number) =>
       this.#time.after(delay, () => {
-        if (vm.run !== run) return;
+        if (vm.restartCount !== restartCount) return;
         const reported = outcome ?? { kind: "failed", cause: "no answer" };
         if (outcome === null) vm.connections.delete(order.address);
         this.#handle(vm, {
@@ -941,16 +947,19 @@
     this.#report.withheldOrders += 1;
     vm.withheldOrders.push(order);
     if (vm.withheldOrders.length > 1) return;
-    const { run } = vm;
-    this.#time.after(1 + vm.orderAge, () => this.#endWithheld(vm, run));
+    const { restartCount } = vm;
+    this.#time.after(
+      1 + vm.orderAge,
+      () => this.#endWithheld(vm, restartCount),
+    );
   }
 
   /** Reports the end of all withheld orders to the VM in one turn of its event loop. */
-  #endWithheld(vm: Vm, run: number): void {
-    if (vm.run !== run || !vm.isUp) return;
+  #endWithheld(vm: Vm, restartCount: number): void {
+    if (vm.restartCount !== restartCount || !vm.isUp) return;
     const delay = vm.frozenUntil - this.#time.now;
     if (delay > 0) {
-      return this.#time.after(delay, () => this.#endWithheld(vm, run));
+      return this.#time.after(delay, () => this.#endWithheld(vm, restartCount));
     }
     const { withheldOrders } = vm;
     vm.withheldOrders = [];
@@ -991,15 +1000,14 @@
     this.#setTimer(vm);
   }
 
-  /** Processor time that it takes to carry out an effect, in milliseconds. */
+  /** Returns the processor time that an effect takes, in milliseconds. */
   #processorTime({ kind }: EntryEffect): number {
     const { orderTime = 0, messageTime = 0 } = this.options;
     if (kind === "order.grant" || kind === "order.release") return orderTime;
     return kind === "peer.send" ? messageTime : 0;
   }
 
-  /** Replaces the token of a renewal with that of the first grant, if the options say
-   * so. */
+  /** Replaces the token of a renewal with that of the first grant if `isTokenReused`. */
   #reuseToken(order: GrantOrder | ReleaseOrder): void {
     if (!this.options.isTokenReused) return;
     const { server, first, last } = order;
@@ -1027,13 +1035,13 @@
     const isLate = order.kind === "order.grant" &&
       this.#isActive("orders.late");
     const isLost = this.#isActive("orders.lost") && this.#draw() < 0.5;
-    const isSilent = isLate || isLost;
+    const isUnanswered = isLate || isLost;
     const arrivedAt = this.#time.now + ONE_WAY_DELAY;
     const delay = isLate ? 2_000 + this.#draw() * 10_000 : ONE_WAY_DELAY;
-    if (isSilent) end(null, ORDER_TIMEOUT);
+    if (isUnanswered) end(null, ORDER_TIMEOUT);
     this.#time.after(delay, () => {
       const outcome = this.#execute(server, order, arrivedAt);
-      if (isSilent) return;
+      if (isUnanswered) return;
       if (outcome === null) return end(null, ONE_WAY_DELAY);
       const work = order.kind === "order.release" ? RELEASE_TIME : 0;
       this.#time.after(
@@ -1293,10 +1301,10 @@
   }
 }
 
-/** Returns the sequence of a VM's claims, by which the store distinguishes them from
- * those of other VMs. */
-function firstSequence({ index, run }: Vm): number {
-  return SEQUENCES_PER_RUN * (1 + index + MAXIMUM_VMS * run);
+/** Returns the sequence number of a VM's claims, by which the store distinguishes them
+ * from those of other VMs. */
+function firstSequence({ index, restartCount }: Vm): number {
+  return SEQUENCES_PER_PROCESS * (1 + index + MAXIMUM_VMS * restartCount);
 }
 
 /** Makes a holder's message report that the store has just answered the holder. */
