--- a/test/ownership/crashing_request_test.ts
+++ b/test/ownership/crashing_request_test.ts
@@ -192,7 +192,7 @@
 test("a request that crashes its servers: all VMs are killed at once, three times", (t) => {
   for (const seed of [1, 2]) {
     for (const isKeyed of [true, false]) {
-      const load = { isKeyed, ending: SLOW_REPEATS };
+      const load = { isKeyed, crashingRequest: SLOW_REPEATS };
       const servers = MANY_SERVERS;
       const faults = SIMULTANEOUS_KILLS;
       const report = simulate({ vms: 11, servers, seed, faults, load });
@@ -212,7 +212,7 @@
   test(`a request that crashes its servers: ${name}`, (t) => {
     for (const seed of [1, 2]) {
       for (const isKeyed of [true, false]) {
-        const load = { isKeyed, ending: SLOW_REPEATS };
+        const load = { isKeyed, crashingRequest: SLOW_REPEATS };
         const servers = MANY_SERVERS;
         const report = simulate({ vms: 11, servers, seed, faults, load });
         const late = lateRuns(report);
