--- a/test/ending_request_test.ts
+++ b/test/crashing_request_test.ts
@@ -1,5 +1,5 @@
 /**
- * The scenario of `ownership/ending_request_test.ts` with real processes. A caller
+ * The scenario of `ownership/crashing_request_test.ts` with real processes. A caller
  * repeatedly sends a request that crashes each server that runs it, through all entries
  * and next to other callers. Crashed servers are replaced at the same address under
  * another id.
@@ -21,17 +21,18 @@
   HOST,
 } from "./support/deployment.ts";
 
-/** Maximum runs after all VMs have received the report of the last allowed crash. */
+/** Maximum number of runs that start after all VMs have received the crash record of the
+ * last allowed crash. */
 const MAXIMUM_LATE_RUNS = 3;
 /** Number of crashes after which the request is quarantined. */
 const ALLOWED_CRASHES = 3;
-/** Time for VMs to receive the report of a crash, in milliseconds. */
+/** Time for VMs to receive the record of a crash, in milliseconds. */
 const PROPAGATION_TIME = 3_000;
-/** Minimum served share of the other callers' requests from then on. */
+/** Minimum share of the other callers' requests that are served from then on. */
 const MINIMUM_SERVED_SHARE = 0.98;
 /** Time for which the request is repeated, in milliseconds. */
 const DURATION = 18_000;
-/** Interval between two sends, in milliseconds. */
+/** Interval between two sends of the crashing request, in milliseconds. */
 const SEND_INTERVAL = 500;
 /** Time until a crashed server is replaced, in milliseconds. */
 const RESTART_DELAY = 2_500;
@@ -75,8 +76,8 @@
 }
 
 /**
- * Repeatedly sends the crashing request, through all entries in turn, with `copies` at the
- * same time. Returns the status codes.
+ * Repeatedly sends `copies` of the crashing request at the same time, through all entries
+ * in turn. Returns the status codes; 0 for a connection that failed.
  */
 async function sendCrashingRequests(
   deployment: Deployment,
@@ -120,8 +121,8 @@
 
 /**
  * Returns the start time of the run that caused the last allowed crash, or Infinity if
- * fewer servers crashed. Counts each server once, so that concurrent copies on one server
- * don't start the measurement too early.
+ * fewer servers crashed. Counts each server once, since several copies may run on a server
+ * when it crashes.
  */
 function lastAllowedCrash(runs: readonly Run[]): number {
   const crashTimes = new Map<string, number>();
@@ -136,8 +137,8 @@
 }
 
 /**
- * Checks that the status and the log of every entry show the quarantined request and the
- * reason of a refusal.
+ * Checks that the status of every entry shows the quarantined request, and that its log
+ * shows why a request was refused.
  */
 async function checkOperatorOutput(
   t: ExecutionContext,
@@ -169,7 +170,7 @@
 ];
 
 for (const [name, service, copies] of CASES) {
-  test.serial(`a request that ends its servers, ${name}: it is held back, others are served`, async (t) => {
+  test.serial(`a request that crashes its servers, ${name}: it is quarantined, others are served`, async (t) => {
     const deployment = await Deployment.start({ entries: 4, servers: 6 });
     t.teardown(() => deployment.stop());
     const supervisor = Supervisor.create(deployment);
@@ -193,7 +194,7 @@
     const served = servedShare(calls.filter((each) => each.startedAt > from));
     t.true(
       served >= MINIMUM_SERVED_SHARE,
-      `${served} of the others were served`,
+      `${served} of the other requests were served`,
     );
     await checkOperatorOutput(t, deployment, service);
   });
--- a/test/explain_test.ts
+++ b/test/explain_test.ts
@@ -4,13 +4,13 @@
 import { Deployment } from "./support/deployment.ts";
 
 /** Runs a short load and returns the calls that were not served. */
-async function failingCalls(
+async function unservedCalls(
   deployment: Deployment,
   service: "stock" | "orders",
   callers: number,
 ): Promise<Call[]> {
-  const change = { callers, requests: 3_000, seconds: 4, pause: 1 };
-  const { calls } = await runLoad(deployment.plan(service, change));
+  const overrides = { callers, requests: 3_000, seconds: 4, pause: 1 };
+  const { calls } = await runLoad(deployment.plan(service, overrides));
   return calls.filter((call) => !isServed(call));
 }
 
@@ -29,21 +29,21 @@
     deployment.servers.find((each) => each.name === name)!;
 
   await deployment.setFaults(server("orders-1").address, { loseAnswers: 1 });
-  const [lost] = await failingCalls(deployment, "orders", 2);
+  const [lost] = await unservedCalls(deployment, "orders", 2);
   t.is(lost.status, 502);
 
   server("stock-1").process.kill("SIGKILL");
-  const moved = (await failingCalls(deployment, "stock", 4))
+  const unavailable = (await unservedCalls(deployment, "stock", 4))
     .find((call) => call.status === 503)!;
 
   for (const name of ["orders-1", "orders-2"]) {
     await deployment.setFaults(server(name).address, { work: 900 });
   }
-  const refused = (await failingCalls(deployment, "orders", 60))
+  const refused = (await unservedCalls(deployment, "orders", 60))
     .find((call) => call.status === 503)!;
   await new Promise((next) => setTimeout(next, 200));
 
-  const traces = [lost, moved, refused].map(({ requestId }) =>
+  const traces = [lost, unavailable, refused].map(({ requestId }) =>
     traceOf(deployment, requestId)
   );
   t.regex(traces[0].cause, /^502: orders-1 may have run it/);
--- a/test/large_configuration_test.ts
+++ b/test/large_configuration_test.ts
@@ -1,10 +1,11 @@
 /**
- * Guards against a configuration that small VMs can't download. If the timeout covers the
- * whole response (0.7 s), the read of a document with 2,000 more routes times out on a
- * small VM and is retried without success. The retries saturate the VM's link, which
+ * Guards against a configuration that small VMs can't download. If the timeout of 0.7 s
+ * covers the whole response, the read of a document with 2,000 more routes times out on a
+ * small VM, and so does each retry. The retries saturate the VM's link, which
  * delays membership calls and messages of the term holder. VMs then read the document
- * themselves, the term changes hands repeatedly, and removed servers still get requests:
- * four of five keyed requests were rejected although the store and the servers worked.
+ * themselves, the term passes to other VMs repeatedly, and removed servers still get
+ * requests: four of five keyed requests were rejected although the store and the servers
+ * worked.
  * The log shows `store.call_failed` for reads of the configuration on nearly all VMs
  * within seconds, and repeated `holder.announced`.
  *
@@ -21,11 +22,11 @@
 } from "./support/large_configuration.ts";
 import { openThrottledLink } from "./support/throttled_link.ts";
 
-/** Bandwidth in bytes per second, half of a link of 7 Mbit/s. */
+/** Bandwidth of the link, in bytes per second: half of 7 Mbit/s. */
 const LINK_BANDWIDTH = 400_000;
 /**
- * Maximum time until a VM has the configuration, in milliseconds. The download of the
- * document takes 1.3 s over that link.
+ * Maximum time until a VM has the configuration, in milliseconds. The download takes 1.3 s
+ * over that link.
  */
 const START_TIMEOUT = 6_000;
 
--- a/test/other_writers_test.ts
+++ b/test/other_writers_test.ts
@@ -43,10 +43,10 @@
 ];
 
 /**
- * Writes entries, and ignores a call without a response, since the next write follows soon.
- * On a machine with many more busy processes than cores the store may be delayed for
- * longer than the timeout of a call. A delay of 0.9 s made this test fail although the
- * system under test worked.
+ * Writes entries, and ignores a call without an answer, since the next write follows soon.
+ * On a machine with many more busy processes than cores the store may answer after the
+ * timeout of a call. A delay of 0.9 s made this test fail although the system under test
+ * worked.
  */
 async function appendRecords(
   client: StoreClient,
@@ -87,13 +87,13 @@
   t.teardown(() => deployment.stop());
   const client = StoreClient.create(deployment.store);
   t.teardown(() => client.close());
-  const change = {
+  const overrides = {
     seconds: ROUND_DURATION * (INVALID_VALUES.length + 2) / 1_000,
     pause: 10,
   };
   const load = Promise.all([
-    runLoad(deployment.plan("stock", change)),
-    runLoad(deployment.plan("orders", change)),
+    runLoad(deployment.plan("stock", overrides)),
+    runLoad(deployment.plan("orders", overrides)),
   ]);
   for (const text of INVALID_VALUES) {
     const value = Buffer.from(text);
@@ -113,7 +113,8 @@
   for (const entry of deployment.entries) {
     const lines = deployment.logOf(entry);
     t.false(lines.some((each) => each.message === "server.removed"));
-    // The store removes an entry that is not renewed, which also counts as its end.
+    // At most one line when the entry becomes unreadable, and one when the store removes
+    // it because it is not renewed.
     t.true(recordMessages(lines, "other-1").length <= 2);
     for (const key of ["stock-1", "orders-1"]) {
       const messages = recordMessages(lines, key);
--- a/test/path_test.ts
+++ b/test/path_test.ts
@@ -12,7 +12,7 @@
 
 const REQUESTS = 1_000;
 
-/** Returns load plans of idempotent lookups and of non-idempotent orders. */
+/** Returns a load plan of idempotent lookups and one of non-idempotent orders. */
 function plans(
   deployment: Deployment,
   overrides: Partial<LoadPlan>,
@@ -144,7 +144,7 @@
   await delay(500);
   stoppingEntry.process.kill("SIGTERM");
   await delay(200);
-  // A supervisor may send the signal twice.
+  // A process supervisor may send the signal twice.
   stoppingEntry.process.kill("SIGTERM");
   await delay(1_000);
   isInRotation = false;
--- a/test/platform_test.ts
+++ b/test/platform_test.ts
@@ -61,7 +61,7 @@
 const record = (key: string, value: string) =>
   encodeKeyedRecord({ key, value: Buffer.from(value) });
 
-/** Returns how a call failed, or `none`. */
+/** Returns how a call to the store failed, or `none` if it succeeded. */
 async function failureOf(call: Promise<unknown>): Promise<string> {
   try {
     await call;
@@ -100,8 +100,8 @@
 });
 
 test("records: rejects a truncated page", (t) => {
-  const whole = Buffer.concat([Buffer.alloc(16), record("k", "value")]);
-  t.throws(() => decodePage(whole.subarray(0, whole.length - 1)));
+  const page = Buffer.concat([Buffer.alloc(16), record("k", "value")]);
+  t.throws(() => decodePage(page.subarray(0, page.length - 1)));
   t.throws(() => decodePage(Buffer.alloc(3)));
 });
 
@@ -122,8 +122,8 @@
 });
 
 test("configuration: the warm-up applies if both values are valid, and is ignored otherwise", (t) => {
-  const decode = (figures: object) => {
-    const service = { name: "s", max_connections: 9, ...figures };
+  const decode = (fields: object) => {
+    const service = { name: "s", max_connections: 9, ...fields };
     const limits = {
       maximumHeaderBytes: 1,
       maximumBodyBytes: 1,
@@ -145,7 +145,7 @@
     { warmUpSeconds: "3", warmUpRate: 4.3 },
     { warmUpSeconds: 3, warmUpRate: null },
   ];
-  for (const figures of ignored) t.is(decode(figures), undefined);
+  for (const fields of ignored) t.is(decode(fields), undefined);
 });
 
 test("evacuations: the feed reports evacuated and restored zones, whatever their records contain", async (t) => {
@@ -232,8 +232,8 @@
     sequence: 4,
   };
   t.snapshot(decodeServer("i-1", Buffer.from(JSON.stringify(entry))));
-  const broken = Buffer.from(JSON.stringify({ ...entry, slots: "many" }));
-  t.throws(() => decodeServer("i-1", broken), { any: true });
+  const invalid = Buffer.from(JSON.stringify({ ...entry, slots: "many" }));
+  t.throws(() => decodeServer("i-1", invalid), { any: true });
 });
 
 test("registry: an entry has the incarnation of its server, or 0 if absent", (t) => {
@@ -259,24 +259,24 @@
   const codec = PlatformHeaderCodec.create();
   const read = (status: number, headers: Record<string, string>) =>
     codec.readResponse(status, headers, "r-1");
-  const own = { "x-plumloft-request-id": "r-1" };
+  const ownId = { "x-plumloft-request-id": "r-1" };
   t.snapshot({
     genuine: read(200, {
-      ...own,
+      ...ownId,
       "x-plumloft-response-signature": "s",
       "x-plumloft-server-load": "2,1,3",
     }),
-    unsigned: read(200, own),
+    unsigned: read(200, ownId),
     another: read(200, {
       "x-plumloft-request-id": "r-2",
       "x-plumloft-response-signature": "s",
     }),
-    shed: read(503, { ...own, "x-plumloft-not-executed": "1" }),
+    shed: read(503, { ...ownId, "x-plumloft-not-executed": "1" }),
     misdirected: read(421, { "x-plumloft-instance-id": "i-2" }),
-    brokenLoad: read(200, { ...own, "x-plumloft-server-load": "2,x" }).load,
+    brokenLoad: read(200, { ...ownId, "x-plumloft-server-load": "2,x" }).load,
   });
   const rateLimit = (value: string, name = "server-limit") =>
-    read(200, { ...own, [name]: value }).rateLimit;
+    read(200, { ...ownId, [name]: value }).rateLimit;
   // The prefixed name is accepted as a fallback.
   t.is(rateLimit("6", "x-plumloft-server-limit"), 6);
   t.deepEqual(
@@ -294,7 +294,7 @@
     t.is(rateLimit(value), undefined, value);
   }
   t.snapshot(codec.readRequest({
-    ...own,
+    ...ownId,
     "x-plumloft-deadline-ms": "500",
     "x-plumloft-shard-key": "-3",
   }));
@@ -444,7 +444,7 @@
   );
 }
 
-/** Encodes a record whose key may be any bytes. */
+/** Encodes a record whose key may contain any bytes. */
 function rawRecord(key: Uint8Array, value: Buffer): Buffer {
   const content = Buffer.concat([Buffer.from([key.length]), key, value]);
   const length = Buffer.alloc(4);
@@ -553,13 +553,13 @@
     const { store, client } = await startStoreWith(t, topic, []);
     let next = 0;
     await fc.assert(
-      fc.asyncProperty(hostile, fc.boolean(), async (value, isOwnKey) => {
-        const name = Buffer.from(isOwnKey ? key : "other");
+      fc.asyncProperty(hostile, fc.boolean(), async (value, isFeedKey) => {
+        const name = Buffer.from(isFeedKey ? key : "other");
         const records = [
           rawRecord(Buffer.from([0xff, 0xfe]), value),
           rawRecord(name, value),
         ];
-        if (!isOwnKey) records.push(rawRecord(Buffer.from(key), good));
+        if (!isFeedKey) records.push(rawRecord(Buffer.from(key), good));
         await client.append(topic, records, {});
         for (
           const read of [
@@ -576,7 +576,7 @@
           const zones = kinds.filter((kind) => kind === "evacuations.read");
           t.is(zones.length, feed === "configuration" ? 1 : 0);
           const others = kinds.length - holderReads - zones.length;
-          if (!isOwnKey) t.is(others, 1);
+          if (!isFeedKey) t.is(others, 1);
           for (const each of read.occurrences) {
             if (each.kind !== "holder.announced") continue;
             t.regex(each.holder.address, /^[\w.-]+:[1-9]\d*$/);
@@ -603,32 +603,38 @@
     Buffer.from("service/g"),
     encodeCbor(VALID_ASSIGNMENT),
   );
-  const term = rawRecord(Buffer.from("term"), encodeCbor({ term: 9, vm: "v" }));
+  const termRecord = rawRecord(
+    Buffer.from("term"),
+    encodeCbor({ term: 9, vm: "v" }),
+  );
   const { store, client } = await startStoreWith(t, "keyed.ownership", [
     good,
-    term,
+    termRecord,
   ]);
-  const own = { ...VALID_ASSIGNMENT, service: "h" };
+  const valid = { ...VALID_ASSIGNMENT, service: "h" };
   await fc.assert(
-    fc.asyncProperty(hostileValue(own, encodeCbor), async (value) => {
-      const key = Buffer.from("service/h");
-      await client.append("keyed.ownership", [rawRecord(key, value)], {});
-      const { records, isTermKnown, faults } = await store.readRecords();
-      t.true(isTermKnown);
-      t.true(records.term >= 9 && records.term <= 2 ** 48);
-      const byService = new Map(
-        records.assignments.map((each) => [each.service, each]),
-      );
-      t.deepEqual(byService.get("g"), VALID_ASSIGNMENT);
-      if (value.length === 0) return;
-      const other = byService.get("h")!;
-      t.true(coversAllKeys(other.ranges));
-      if (faults.length === 0) return;
-      t.deepEqual(other.ranges, [
-        { ...ALL_KEYS, server: "", address: null, isOpen: false },
-      ]);
-      t.is(other.term, 0);
-    }),
+    fc.asyncProperty(
+      hostileValue(valid, encodeCbor),
+      async (value) => {
+        const key = Buffer.from("service/h");
+        await client.append("keyed.ownership", [rawRecord(key, value)], {});
+        const { records, isTermKnown, faults } = await store.readRecords();
+        t.true(isTermKnown);
+        t.true(records.term >= 9 && records.term <= 2 ** 48);
+        const byService = new Map(
+          records.assignments.map((each) => [each.service, each]),
+        );
+        t.deepEqual(byService.get("g"), VALID_ASSIGNMENT);
+        if (value.length === 0) return;
+        const other = byService.get("h")!;
+        t.true(coversAllKeys(other.ranges));
+        if (faults.length === 0) return;
+        t.deepEqual(other.ranges, [
+          { ...ALL_KEYS, server: "", address: null, isOpen: false },
+        ]);
+        t.is(other.term, 0);
+      },
+    ),
     { numRuns: 150, seed: 5 },
   );
 });
@@ -749,13 +755,13 @@
     mayConnect: true,
   };
   const grant = { ...keys, kind: "order.grant", token: 5 } as const;
-  const terms = { hold: 1_000, handover: null };
+  const leaseTerms = { hold: 1_000, handover: null };
   const release = { ...keys, kind: "order.release", token: 4 } as const;
   const kinds: string[] = [];
   for (const id of ["first-run", "second-run"]) {
     const recipient = { server: id };
     const granted = await orders.grant(
-      { ...grant, ...terms, ...recipient },
+      { ...grant, ...leaseTerms, ...recipient },
       500,
     );
     const released = await orders.release({ ...release, ...recipient }, 500);
--- a/test/rate_limited_server_test.ts
+++ b/test/rate_limited_server_test.ts
@@ -14,7 +14,7 @@
 const RATE_LIMIT = 2;
 /** Window in which requests are counted, in milliseconds. */
 const WINDOW = 4_000;
-/** Maximum requests per window that the specification of the limit permits. */
+/** Maximum number of requests per window that the specification of the limit permits. */
 const MAXIMUM_IN_WINDOW = 1.5 * RATE_LIMIT * WINDOW / 1_000 + 5;
 /** Start and end of the limit, in milliseconds after the start of the load. */
 const LIMITED_FROM = 3_000;
@@ -37,8 +37,8 @@
 }
 
 /**
- * Returns the server of `service` that has run the most requests. A slower server may
- * get no requests without keys, and would then never report its limit.
+ * Returns the server of `service` that has run the most requests. Without keys, a slower
+ * server may receive no requests, and would then never report its limit.
  */
 function busiestServer(
   deployment: Deployment,
@@ -93,7 +93,7 @@
     const during = calls.filter((each) =>
       each.startedAt >= from && each.startedAt < limitedUntil
     );
-    const least = service === "stock" ? 0.95 : 0.98;
-    t.true(servedShare(during) > least, `${servedShare(during)} served`);
+    const minimumShare = service === "stock" ? 0.95 : 0.98;
+    t.true(servedShare(during) > minimumShare, `${servedShare(during)} served`);
   });
 }
--- a/test/serve_signals_test.ts
+++ b/test/serve_signals_test.ts
@@ -1,6 +1,6 @@
 /**
  * Guards against signals that terminate a starting process. A signal without a listener
- * terminates the process at once, with all connections that it has already accepted.
+ * terminates the process at once and closes all connections that it has accepted.
  * SIGHUP must reload the settings, and SIGTERM must start a graceful shutdown.
  *
  * @module
@@ -17,7 +17,7 @@
 
 /** Maximum time until a process accepts connections, in milliseconds. */
 const START_TIMEOUT = 20_000;
-/** Time after which a signal would have terminated the process, in milliseconds. */
+/** Time within which an unhandled signal would terminate the process, in milliseconds. */
 const SIGNAL_WAIT = 1_000;
 
 /** Starts a process; resolves as soon as it accepts the connection of a caller. */
--- a/test/soak/loopback_proxy.ts
+++ b/test/soak/loopback_proxy.ts
@@ -7,7 +7,7 @@
 import { parseAddress } from "../../src/settings/index.ts";
 import { loopbackAddress } from "../support/loopback_address.ts";
 
-/** Behavior of a proxy; it also applies to open connections. */
+/** What a proxy does with connections, including those that are already open. */
 export type ProxyMode =
   | "pass"
   /** Buffers the bytes of both directions until the mode changes. */
--- a/test/soak/soak_plan.ts
+++ b/test/soak/soak_plan.ts
@@ -67,17 +67,19 @@
   servers: number;
   /** Duration of the load, in milliseconds. */
   loadDuration: number;
-  /** Whether there are planned operations only, so that no request may be lost. */
+  /** Whether the plan has only operations of operators, so that no request may be lost. */
   isPlannedOnly: boolean;
   faults: SoakFault[];
 }
 
-/** Every plan whose seed is a multiple of this has planned operations only. */
+/** Plans whose seed is a multiple of this number have planned operations only. */
 const PLANNED_ONLY_INTERVAL = 4;
-/** Time before the first fault and after the start of the last one, in milliseconds. */
+/** Time from the start of the load to the first fault, in milliseconds. */
 const START_MARGIN = 800;
+/** Minimum time from the start of a fault to the end of the load, in milliseconds. */
 const END_MARGIN = 2_000;
-/** Mean time between two faults, in milliseconds. It lets faults overlap. */
+/** Mean time between two faults, in milliseconds. It is shorter than many faults, so that
+ * they overlap. */
 const MEAN_INTERVAL = 900;
 /** Range of the duration of a fault, in milliseconds. */
 const MINIMUM_DURATION = 200;
@@ -85,7 +87,8 @@
 
 /** Mean time between two faults that extended plans add, in milliseconds. */
 const EXTENDED_MEAN_INTERVAL = 2_500;
-/** Mask of the seed for added faults, so that their random numbers are independent. */
+/** Value that the seed is XORed with for added faults, so that their random numbers are
+ * independent of those of the plan. */
 const EXTENDED_SEED_MASK = 0x5eed;
 
 /** Creates the plan of a seed with additional {@linkcode EXTENDED_FAULTS}. */
--- a/test/soak/soak_run.ts
+++ b/test/soak/soak_run.ts
@@ -25,15 +25,16 @@
 import { LoopbackProxy } from "./loopback_proxy.ts";
 import type { SoakFault, SoakPlan } from "./soak_plan.ts";
 
-/** Maximum time until the system recovers after the faults, in milliseconds. */
+/** Maximum time until the system has recovered from the faults, in milliseconds. */
 const RECOVERY_TIMEOUT = 14_000;
 /**
  * Interval between two readiness checks of a VM, in milliseconds. A VM gets no requests
  * after two checks without status 200.
  */
 const CHECK_INTERVAL = 300;
-/** Number of calls after all faults, and minimum share of them that must be served. */
+/** Number of calls after the system has recovered from all faults. */
 const FINAL_CALLS = 100;
+/** Minimum share of these calls that must be served. */
 const FINAL_SHARE = 0.95;
 /** Time between the start of draining and the end of a server, in milliseconds. */
 const DRAIN_DURATION = 2_600;
@@ -135,15 +136,15 @@
 
   /** Sends idempotent lookups to `stock` and non-idempotent requests to `orders`. */
   async #runLoad(requests: number, seconds: number): Promise<Call[]> {
-    const change = {
+    const overrides = {
       requests,
       seconds,
       pause: 15,
       isReady: (target: string) => (this.#failedChecks.get(target) ?? 0) < 2,
     };
     const results = await Promise.all([
-      runLoad(this.#deployment.plan("stock", change)),
-      runLoad(this.#deployment.plan("orders", change)),
+      runLoad(this.#deployment.plan("stock", overrides)),
+      runLoad(this.#deployment.plan("orders", overrides)),
     ]);
     return results.flatMap(({ calls }) => calls);
   }
@@ -303,7 +304,7 @@
     this.#replace(server);
   }
 
-  /** Starts a server as a replacement of one that has ended. */
+  /** Starts a server that replaces one that has ended. */
   #replace(server: DeployedProcess): void {
     const { servers } = this.#deployment;
     this.#serverCount += 1;
@@ -457,7 +458,7 @@
     method: "POST",
     headers: { host: HOST, ...headers },
     body: `crashes its server ${variant}`,
-    // Entries may be paused or stopped.
+    // Failures are ignored, since entries may be paused or stopped.
   }).then(({ body }) => body.dump(), () => {});
 }
 
--- a/test/support/bundled_program.ts
+++ b/test/support/bundled_program.ts
@@ -25,7 +25,7 @@
     from: "return request.route.isIdempotent\n    ?",
     to: "return request.mayHaveRun\n    ?",
   },
-  /** Reassigns the keys of an unresponsive server without waiting for its lease. */
+  /** Reassigns the keys of an unresponsive server before its lease has expired. */
   no_wait: {
     file: "src/core/keyspace/term_holder.ts",
     from: "if (now >= this.#orders.heldUntil(range)) {",
--- a/test/support/bundled_program_test.ts
+++ b/test/support/bundled_program_test.ts
@@ -1,6 +1,6 @@
 /**
  * Guards against mutations whose original line is no longer in the program. Such a
- * mutation changes nothing, so it can't show that the checks of the soak detect faults.
+ * mutation changes nothing, so it can't show that the checks of the soak test detect it.
  *
  * @module
  */
--- a/test/support/caller_connection.ts
+++ b/test/support/caller_connection.ts
@@ -1,5 +1,6 @@
 /**
- * Runs a caller server without the rest of the entry, and opens a connection to it.
+ * Runs the server for caller connections without the rest of the entry, and opens a
+ * connection to it.
  *
  * @module
  */
@@ -17,7 +18,7 @@
 export interface CallerConnection {
   server: CallerServer;
   socket: Socket;
-  /** Events that the server passed to its event loop. */
+  /** Events that the server has emitted. */
   events: UntimedEvent[];
   /** Returns the text received on the connection so far. */
   read(): string;
@@ -30,11 +31,11 @@
   t: ExecutionContext,
   limits: CallerLimits,
 ): Promise<CallerConnection> {
-  const occurrences: UntimedEvent[] = [];
+  const events: UntimedEvent[] = [];
   const lag = LoopLag.create();
   const server = CallerServer.create(
     PlatformHeaderCodec.create(),
-    { push: (each) => void occurrences.push(each) },
+    { push: (each) => void events.push(each) },
     { recordResponse: () => {} },
     lag,
   );
@@ -55,5 +56,5 @@
     t.teardown(() => other.destroy());
     return other;
   };
-  return { server, socket, events: occurrences, read: () => text, connectFrom };
+  return { server, socket, events, read: () => text, connectFrom };
 }
--- a/test/support/deployment.ts
+++ b/test/support/deployment.ts
@@ -30,13 +30,13 @@
 /** Maximum time that a test waits for a condition, in milliseconds. */
 const MAXIMUM_WAIT = 30_000;
 /**
- * Assignments count as settled if they don't change for this time, in milliseconds. The
- * term holder checks the load balance of keys four times in it.
+ * Assignments are settled if they don't change for this time, in milliseconds. The term
+ * holder checks the balance of load four times during it.
  */
 const SETTLE_TIME = 1_200;
 /** Host name of all routes. */
 export const HOST = "test.example";
-/** Preloaded module that simulates the clocks of a suspended machine. */
+/** Module, loaded before the program, that simulates the clocks of a suspended machine. */
 const SUSPENDABLE_CLOCK = fileURLToPath(
   new URL("suspendable_machine.cjs", import.meta.url),
 );
@@ -49,12 +49,12 @@
   process: ChildProcess;
   /** Command line arguments before the settings. */
   command: string[];
-  /** Address for the readiness checks of the load balancer. */
+  /** Address that the load balancer's readiness checks are sent to. */
   readiness: string;
-  /** Address for requests of callers or of entries. */
+  /** Address that accepts requests: of callers to an entry, or of entries to a server. */
   address: string;
   admin: string;
-  /** Address for messages of other entries. */
+  /** Address that accepts messages from other entries. */
   peer: string;
   logFile: string;
   runsFile: string;
@@ -231,7 +231,7 @@
     throw new Error("no entry holds the term");
   }
 
-  /** Returns the requests that a server has run, including those before it was killed. */
+  /** Returns the runs that a server has recorded, also after it was killed. */
   runs(server: DeployedProcess): Run[] {
     return readLines(server.runsFile).map((line) =>
       runSchema.parse(JSON.parse(line))
@@ -245,11 +245,11 @@
 
   /** Sets the simulated faults of a backend server or of the store. */
   async setFaults(address: string, faults: object): Promise<void> {
-    const answer = await request(`http://${address}/stand-in/faults`, {
+    const response = await request(`http://${address}/stand-in/faults`, {
       method: "POST",
       body: JSON.stringify(faults),
     });
-    await answer.body.dump();
+    await response.body.dump();
   }
 
   /** Kills all processes. */
--- a/test/support/peer_messages.ts
+++ b/test/support/peer_messages.ts
@@ -1,5 +1,6 @@
 /**
- * Collects and delivers the messages between the exchanges of several VMs in tests.
+ * Collects and delivers messages between VMs in tests of the exchanges, which send updates
+ * to other VMs and receive theirs.
  *
  * @module
  */
@@ -23,8 +24,8 @@
   };
 }
 
-/** Delivers messages, including responses, until none are pending. Messages to unknown
- * addresses are dropped. */
+/** Delivers messages, including answers, until none are pending. Drops messages to unknown
+ * addresses. */
 export function deliver<M extends PeerMessage>(
   vms: readonly Peer<M>[],
   now: number,
--- a/test/support/suspendable_machine.cjs
+++ b/test/support/suspendable_machine.cjs
@@ -1,9 +1,9 @@
-// Simulates the clocks of a suspended machine; loaded before the program in tests.
+// Simulates the clocks of a suspended machine. Tests load it before the program.
 //
 // While a machine is suspended, its monotonic clock stands still, but the time of day
 // and the time since boot advance. While only a process is stopped by SIGSTOP, its
-// monotonic clock advances as well. Therefore performance.now() of this process
-// excludes the first stop after a SIGUSR2.
+// monotonic clock advances as well. To simulate a suspension, performance.now() excludes
+// the time of the first stop after a SIGUSR2.
 "use strict";
 
 /** A longer gap between two clock reads counts as a stop, in milliseconds. */
--- a/test/support/throttled_link.ts
+++ b/test/support/throttled_link.ts
@@ -12,7 +12,7 @@
 /** Time between two writes to clients, in milliseconds. */
 const SEND_INTERVAL = 10;
 
-/** Bytes that are queued for a client connection. */
+/** Bytes that wait to be written to a client connection. */
 interface QueuedBytes {
   socket: Socket;
   bytes: Buffer;
--- a/test/suspended_entry_test.ts
+++ b/test/suspended_entry_test.ts
@@ -1,6 +1,6 @@
 /**
- * Suspends the machine of the term holder, with real processes. Its monotonic clock
- * stands still, but the time of day and the time since boot advance.
+ * Suspends the machine of the term holder in a deployment of real processes. Its monotonic
+ * clock stops, but the time of day and the time since boot advance.
  *
  * @module
  */
