--- a/bench/idle_cost.ts
+++ b/bench/idle_cost.ts
@@ -1,5 +1,5 @@
 /**
- * Processor time and memory of idle entry processes.
+ * Measures the processor time and memory of idle entry processes.
  *
  * @module
  */
@@ -13,7 +13,8 @@
 
 const ENTRIES = 4;
 const SERVERS = 4;
-/** Time after the start that is not measured, in milliseconds. */
+/** Time from the start of the deployment to the start of the measurement, in
+ * milliseconds. */
 const SETTLING_TIME = 4_000;
 /** Duration of the measurement, in milliseconds. */
 const MEASURED_TIME = 20_000;
--- a/bench/quarantine.ts
+++ b/bench/quarantine.ts
@@ -1,6 +1,6 @@
 /**
- * How long it takes until all VMs quarantine a request that crashes backend
- * servers, and how much peer traffic that causes. Measured in the simulation.
+ * Measures in the simulation how long it takes until all VMs quarantine a request
+ * that crashes backend servers, and how much traffic between VMs that causes.
  *
  * @module
  */
@@ -12,14 +12,14 @@
 /** Number of VMs with the highest fitness, which are preferred as term holder. */
 const FITTEST_VMS = 8;
 const SERVERS = 24;
-/** When the first request that crashes servers arrives, and the time between two
- * of them, in milliseconds. */
+/** Time at which the crashing request is first sent, in milliseconds. */
 const FIRST_REQUEST = 9_000;
+/** Time between two sends of the crashing request, in milliseconds. */
 const REQUEST_INTERVAL = 1_500;
 /** Simulated time, in milliseconds. */
 const DURATION = 18_000;
 
-/** Simulates deployments of several sizes. */
+/** Measures deployments of several sizes. */
 export function measureQuarantine(): void {
   for (const vms of VM_COUNTS) measure(vms);
 }
@@ -54,23 +54,27 @@
     },
   });
   const {
-    serverCrashTimes: serverEnds,
-    quarantinedAt: heldBackAt,
+    serverCrashTimes,
+    quarantinedAt,
     quarantineMessages,
     load,
   } = report;
   const conditions = { vms };
-  const lastQuarantined = Math.max(...heldBackAt.values());
+  const lastQuarantined = Math.max(...quarantinedAt.values());
   const print = (name: string, value: number, unit: string) =>
-    printMeasurement({ name: `held back: ${name}`, value, unit, conditions });
-  print("VMs that hold it", heldBackAt.size, "VMs");
-  print("last VM after the third end", lastQuarantined - serverEnds[2], "ms");
-  print("runs in all", load!.crashingRuns.length, "runs");
-  print("messages that tell of it", quarantineMessages.length, "messages");
+    printMeasurement({ name: `quarantine: ${name}`, value, unit, conditions });
+  print("VMs that quarantine it", quarantinedAt.size, "VMs");
+  print(
+    "last VM after the third crash",
+    lastQuarantined - serverCrashTimes[2],
+    "ms",
+  );
+  print("runs in total", load!.crashingRuns.length, "runs");
+  print("messages with crash records", quarantineMessages.length, "messages");
   const bytes = quarantineMessages.map(({ kind, quarantine }) => {
     const part = { kind, quarantine };
     return encodeFrame(part).length;
   });
   const totalBytes = bytes.reduce((total, size) => total + size, 0);
-  print("what they tell", totalBytes, "bytes");
+  print("size of the crash records", totalBytes, "bytes");
 }
--- a/bench/scaling.ts
+++ b/bench/scaling.ts
@@ -1,6 +1,6 @@
 /**
- * How the costs of the core grow with the numbers of servers, key ranges and
- * routes and with the body size. Measured in one process, without sockets.
+ * Measures how the costs of the core grow with the numbers of servers, key ranges
+ * and routes and with the body size, in one process and without sockets.
  *
  * @module
  */
@@ -26,8 +26,9 @@
 const REQUESTS = 20_000;
 /** Sizes of the request bodies whose fingerprints are measured, in bytes. */
 const BODY_SIZES = [0, 4_000, 1_000_000];
-/** Number of runs of a step before the measurement and during it. */
+/** Number of runs of a step before the measurement. */
 const WARM_UP_RUNS = 5;
+/** Number of runs of a step that are measured. */
 const MEASURED_RUNS = 20;
 
 /** Measures requests, fingerprints, assignments and configurations of several sizes. */
@@ -44,8 +45,9 @@
   for (const routes of [100, 2_100, 5_000]) measureConfiguration(routes);
 }
 
-/** Size of a configuration in the store and on the way to a follower, and the time
- * that it takes to read, encode, decode and apply it. */
+/** Measures the size of a configuration in the store and in a message to a follower,
+ * and the time that it takes to decode the document, to encode and decode the message,
+ * and to apply the configuration. */
 function measureConfiguration(routes: number): void {
   const configuration = largeConfiguration(7, routes);
   const document = encodeConfiguration(configuration);
@@ -59,8 +61,8 @@
   const frame = encodeFrame(message, true);
   const bytes = {
     "in the store": document.length,
-    "to a follower, plain": encodeFrame(message).length,
-    "to a follower, deflated": frame.length,
+    "message to a follower, uncompressed": encodeFrame(message).length,
+    "message to a follower, deflated": frame.length,
   };
   for (const [form, value] of Object.entries(bytes)) {
     const conditions = { form, routes };
@@ -72,13 +74,14 @@
     });
   }
   const steps = {
-    "read of the document": () => decodeConfiguration(document),
-    "frame made, once for all": () => encodeFrame(message, true),
-    "frame read": () =>
+    "decode the document": () => decodeConfiguration(document),
+    "encode the message, once for all followers": () =>
+      encodeFrame(message, true),
+    "decode the message": () =>
       FrameDecoder.create().push(frame).map((decoded) =>
         peerMessageSchema.parse(decoded)
       ),
-    "put in force": () => Catalog.create().apply(configuration),
+    "apply": () => Catalog.create().apply(configuration),
   };
   for (const [step, run] of Object.entries(steps)) {
     const conditions = { step, routes };
@@ -87,7 +90,7 @@
   }
 }
 
-/** Mean time of a step after warm-up runs, in milliseconds. */
+/** Returns the mean time of a run after warm-up runs, in milliseconds. */
 function meanMilliseconds(run: () => unknown): number {
   for (let i = 0; i < WARM_UP_RUNS; i++) run();
   const startedAt = performance.now();
@@ -95,7 +98,8 @@
   return (performance.now() - startedAt) / MEASURED_RUNS;
 }
 
-/** Time to dispatch a request while `crashRecords` requests have a crash record. */
+/** Measures the time to dispatch a request while `crashRecords` other requests have a
+ * crash record. */
 function measureRequests(
   servers: number,
   isKeyed: boolean,
@@ -103,10 +107,10 @@
 ): void {
   const { entry, step } = createEntry(servers, isKeyed);
   for (let i = 0; i < crashRecords; i++) {
-    const { complete: whole } = fingerprintOf(`/accused/${i}`);
+    const { complete } = fingerprintOf(`/crashing/${i}`);
     entry.clusterState.quarantine.recordCrash(
-      whole,
-      "h/accused",
+      complete,
+      "h/crashing",
       "server#1",
       1_000,
     );
@@ -154,13 +158,14 @@
     conditions: {
       servers,
       keyed: String(isKeyed),
-      accused: crashRecords,
+      crashRecords,
       pending: entry.dispatcher.pending,
     },
   });
 }
 
-/** Time to compute a request's fingerprint, without its body and with it. */
+/** Measures the time to compute a request's fingerprint, without its body (the head)
+ * and with it (the complete fingerprint). */
 function measureFingerprint(size: number): void {
   const body = Buffer.alloc(size, "x");
   const parts = { method: "POST", host: "h.example" };
@@ -171,7 +176,7 @@
   };
   const steps = {
     head: () => void create().head,
-    whole: () => void create().complete,
+    complete: () => void create().complete,
   };
   for (const [part, run] of Object.entries(steps)) {
     for (let i = 0; i < REQUESTS / 20; i++) run();
@@ -183,7 +188,7 @@
   }
 }
 
-/** Size of the message that sends changed assignments to another VM. */
+/** Measures the size of the message that sends changed assignments to another VM. */
 function measureAssignments(ranges: number): void {
   const message = {
     kind: "assignments.told",
--- a/src/cli/command_line.ts
+++ b/src/cli/command_line.ts
@@ -52,7 +52,7 @@
   }
 }
 
-/** Registers the named command, or all of them for help and unknown names. */
+/** Registers the command `name`, or all commands for help and unknown names. */
 async function registerCommands(parser: Argv, name: string): Promise<void> {
   const named = COMMAND_LOADERS[name];
   const selected = named === undefined
@@ -70,7 +70,7 @@
   }]);
 }
 
-/** Whether the error is caused by the operator's input. */
+/** Whether an error is caused by the operator's input, including an address in use. */
 function isInvalid(error: unknown): boolean {
   if (error instanceof InvalidInput) return true;
   return (error as NodeJS.ErrnoException).code === "EADDRINUSE";
--- a/src/cli/config_command.ts
+++ b/src/cli/config_command.ts
@@ -164,7 +164,10 @@
   return stringify(configuration);
 }
 
-/** Lines that only one of the texts contains, prefixed with `-` or `+`. */
+/**
+ * Returns the lines that only one of the texts contains, prefixed with `-` if it is
+ * `before` and with `+` if it is `after`.
+ */
 function diffLines(before: string, after: string): string[] {
   const oldLines = before.split("\n");
   const newLines = after.split("\n");
--- a/src/cli/demo.ts
+++ b/src/cli/demo.ts
@@ -28,14 +28,14 @@
 } from "../stand_ins/index.ts";
 
 const LOOPBACK = "127.0.0.1";
-/** Range of ports below those that kernels assign to outgoing connections. */
+/** Range of ports, below those that kernels assign to outgoing connections. */
 const MINIMUM_PORT = 20_000;
 const MAXIMUM_PORT = 32_000;
 const ENTRY_COUNT = 3;
 const SERVERS_PER_SERVICE = 3;
 const ZONES = ["larisa", "volos", "trikala"];
 const SITE = "thessalia";
-/** Time within which the deployment must be ready, in milliseconds. */
+/** Maximum time until the deployment is ready, in milliseconds. */
 const READY_TIMEOUT = 25_000;
 
 /** Host name of the demo's routes. */
--- a/src/cli/demo_command.ts
+++ b/src/cli/demo_command.ts
@@ -11,7 +11,7 @@
 import { EXIT_CODE } from "./exit_code.ts";
 
 const REQUEST_KEY = 4_711;
-/** Time that the demo's callers wait for an answer, in milliseconds. */
+/** Timeout of the demo's requests, in milliseconds. */
 const CALLER_TIMEOUT = 2_000;
 
 /** Registers the command with `yargs`. */
@@ -23,7 +23,7 @@
       argv.option("check", {
         type: "boolean",
         default: false,
-        describe: "send the requests, check the answers and exit",
+        describe: "send the requests, check the responses and exit",
       }),
     ({ check }) => check ? runCheck() : runDemo(),
   );
@@ -66,13 +66,13 @@
 }
 
 /**
- * Sends keyed requests and one without a key, checks the answers, and returns a
- * line for each request with the server that ran it.
+ * Sends requests to a keyed and to an unkeyed service, checks the responses, and
+ * returns a line for each request with the server that ran it.
  */
 async function sendRequests(demo: Demo): Promise<string[]> {
   const stored = "12 sheets";
   const put = { method: "PUT" as const, body: stored };
-  await expectAnswer(
+  await expectResponse(
     demo.entryAddresses[0],
     "/stock/hide-7",
     put,
@@ -80,7 +80,7 @@
     stored,
   );
   const get = { method: "GET" as const };
-  await expectAnswer(
+  await expectResponse(
     demo.entryAddresses[1],
     "/stock/hide-7",
     get,
@@ -88,7 +88,7 @@
     stored,
   );
   const post = { method: "POST" as const, body: "list" };
-  await expectAnswer(
+  await expectResponse(
     demo.entryAddresses[2],
     "/catalogue/all",
     post,
@@ -99,7 +99,7 @@
   return runs.map((run) => `${run.requestId} ran on ${run.server}`);
 }
 
-async function expectAnswer(
+async function expectResponse(
   entry: string,
   path: string,
   options: NonNullable<Parameters<typeof request>[1]>,
@@ -107,14 +107,14 @@
   expected: string,
 ): Promise<void> {
   const headers = callerHeaders(id, REQUEST_KEY);
-  const answer = await request(`http://${entry}${path}`, {
+  const response = await request(`http://${entry}${path}`, {
     ...options,
     headers,
   });
-  const text = await answer.body.text();
-  if (answer.statusCode === 200 && text === expected) return;
+  const text = await response.body.text();
+  if (response.statusCode === 200 && text === expected) return;
   throw new Error(
-    `${path} at ${entry}: expected 200 '${expected}', found ${answer.statusCode} '${text}'`,
+    `${path} at ${entry}: expected 200 '${expected}', found ${response.statusCode} '${text}'`,
   );
 }
 
--- a/src/cli/evacuate_command.ts
+++ b/src/cli/evacuate_command.ts
@@ -1,6 +1,6 @@
 /**
- * `plumloft evacuate`: tells all VMs to stop sending requests to the backend
- * servers of an availability zone, or revokes that.
+ * `plumloft evacuate`: evacuates an availability zone, so that no VM sends requests
+ * to its backend servers, or restores it.
  *
  * @module
  */
--- a/src/cli/exit_code.ts
+++ b/src/cli/exit_code.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-/** Exit status of a command. */
+/** Exit codes by result of a command. */
 export const EXIT_CODE = {
   ok: 0,
   /** The command failed; it may succeed when run again. */
--- a/src/cli/explain_command.ts
+++ b/src/cli/explain_command.ts
@@ -48,9 +48,9 @@
       if (line.includes(request)) lines.push(line);
     }
   }
-  const story = traceRequest(request, lines);
-  for (const line of story.lines) process.stdout.write(`${formatLine(line)}\n`);
-  process.stdout.write(`cause: ${story.cause}\n`);
+  const trace = traceRequest(request, lines);
+  for (const line of trace.lines) process.stdout.write(`${formatLine(line)}\n`);
+  process.stdout.write(`cause: ${trace.cause}\n`);
 }
 
 function formatLine({ time, vm, decision, detail }: TraceLine): string {
--- a/src/cli/load_command.ts
+++ b/src/cli/load_command.ts
@@ -1,5 +1,5 @@
 /**
- * `plumloft load`: sends a bounded load of requests.
+ * `plumloft load`: sends a limited number of requests for a limited time.
  *
  * @module
  */
--- a/src/cli/serve_command.ts
+++ b/src/cli/serve_command.ts
@@ -38,10 +38,10 @@
   const seed = randomBytes(4);
   const { address } = settings.store;
   const platform = {
-    // Only one process can listen at the peer address, so a restarted process
-    // reuses its predecessor's member name in the store's groups. Otherwise,
-    // after all VMs are lost, the new members would wait until the store expires
-    // the old ones.
+    // The peer address is the member name in the store's groups: only one process
+    // can listen at it, and a restarted process reuses the name. With new names,
+    // after all VMs have been lost, the new members would wait until the store
+    // expires the old ones.
     store: PlatformStore.create(address, settings.vm, settings.peer),
     headers: PlatformHeaderCodec.create(),
     orders: PlatformOrderSender.create(),
@@ -52,9 +52,9 @@
     process.stdout,
     seed.readUInt32BE(0),
   );
-  // Register the handlers before the start completes: without one, a signal
-  // would kill a process that already accepts connections. A failed start is
-  // reported by the `await` below.
+  // The handlers are registered before the start completes: without a handler, a
+  // signal would kill a process that already accepts connections. A failed start
+  // is reported by the `await` below.
   const whenStarted = (action: (entry: EntryProcess) => void) => () =>
     void starting.then(action, () => {});
   // `on` rather than `once`: a second SIGTERM would kill the process.
--- a/src/cli/status_command.ts
+++ b/src/cli/status_command.ts
@@ -100,7 +100,7 @@
       ? "paused"
       : "up";
     const latency = server.latency === null
-      ? "no answer yet"
+      ? "no response yet"
       : `${server.latency.toFixed(1)} ms`;
     const limit = server.rateLimit === null
       ? ""
--- a/src/load/execution_trace.ts
+++ b/src/load/execution_trace.ts
@@ -1,5 +1,5 @@
 /**
- * A trace of the requests that servers executed and the answers that callers
+ * A trace of the requests that servers executed and the responses that callers
  * received, and checks of the system's invariants on it.
  *
  * @module
@@ -11,21 +11,21 @@
   at: number;
   server: string;
   service: string;
-  /** Null for services without keys. */
+  /** Key of the request; null for services without keys. */
   key: number | null;
-  /** Fencing token of the lease under which it ran. */
+  /** Fencing token of the lease under which it ran; null without a lease. */
   token: number | null;
   requestId: string;
 }
 
-/** The final answer to one request. */
-export interface FinalAnswer {
-  /** Identifies the caller's attempt; attempts may share one request id. */
+/** The final response to one request. */
+export interface FinalResponse {
+  /** Identifies the caller's attempt. Retries may use the same request id. */
   call: string;
-  /** When the answer arrived. */
+  /** When the response arrived. */
   at: number;
-  /** When this call started. */
-  arrivedAt: number;
+  /** When the caller sent the request. */
+  startedAt: number;
   requestId: string;
   kind: "served" | "not-run" | "unknown";
   reason: string;
@@ -34,12 +34,12 @@
 /** All recorded events. Times are in milliseconds of one clock. */
 export interface ExecutionTrace {
   starts: ExecutionStart[];
-  answers: FinalAnswer[];
+  responses: FinalResponse[];
 }
 
 /**
- * Breaches of exclusive ownership: executions for a key under an older token than
- * an earlier execution, or under the same token at another server.
+ * Returns the breaches of exclusive ownership: executions for a key under an older
+ * token than an earlier execution, or under the same token at another server.
  */
 export function findOwnershipBreaches({ starts }: ExecutionTrace): string[] {
   const newest = new Map<string, ExecutionStart>();
@@ -63,7 +63,7 @@
   return breaches;
 }
 
-/** Requests that were executed more than once. */
+/** Returns the requests that were executed more than once. */
 export function findRepeatedExecutions({ starts }: ExecutionTrace): string[] {
   const counts = new Map<string, number>();
   for (const { requestId } of starts) {
@@ -74,24 +74,24 @@
 }
 
 /**
- * Requests that were reported as not run although they ran. An execution that
- * started after the refusal is allowed only if the caller had retried by then.
+ * Returns the requests that were reported as not run although they ran. An execution
+ * that started after the refusal is allowed only if the caller had retried by then.
  */
 export function findExecutedRefusals(
-  { starts, answers }: ExecutionTrace,
+  { starts, responses }: ExecutionTrace,
 ): string[] {
   const startsOf = groupById(starts);
-  const answersOf = groupById(answers);
-  return answers
-    .filter((answer) => answer.kind === "not-run")
-    .filter((answer) => {
-      const { requestId } = answer;
-      const others = (answersOf.get(requestId) ?? []).filter((other) =>
-        other.call !== answer.call && other.at >= answer.at
+  const responsesOf = groupById(responses);
+  return responses
+    .filter((response) => response.kind === "not-run")
+    .filter((response) => {
+      const { requestId } = response;
+      const others = (responsesOf.get(requestId) ?? []).filter((other) =>
+        other.call !== response.call && other.at >= response.at
       );
       return (startsOf.get(requestId) ?? []).some((start) =>
-        start.at <= answer.at ||
-        !others.some((other) => other.arrivedAt <= start.at)
+        start.at <= response.at ||
+        !others.some((other) => other.startedAt <= start.at)
       );
     })
     .map(({ requestId, reason }) => `${requestId} ran, but: ${reason}`);
@@ -109,22 +109,24 @@
   return groups;
 }
 
-/** Calls with more than one final answer. */
-export function findRepeatedAnswers({ answers }: ExecutionTrace): string[] {
+/** Returns the calls with more than one final response. */
+export function findRepeatedResponses({ responses }: ExecutionTrace): string[] {
   const seen = new Set<string>();
-  return answers.filter(({ call }) => {
+  return responses.filter(({ call }) => {
     const isRepeated = seen.has(call);
     seen.add(call);
     return isRepeated;
   }).map(({ call }) => `${call} was answered twice`);
 }
 
-/** Requests that were answered as served although no server executed them. */
-export function findAnswersWithoutExecution(
-  { starts, answers }: ExecutionTrace,
+/** Returns the requests that were reported as served although no server ran them. */
+export function findResponsesWithoutExecution(
+  { starts, responses }: ExecutionTrace,
 ): string[] {
   const ran = new Set(starts.map((start) => start.requestId));
-  return answers
-    .filter((answer) => answer.kind === "served" && !ran.has(answer.requestId))
+  return responses
+    .filter((response) =>
+      response.kind === "served" && !ran.has(response.requestId)
+    )
     .map(({ requestId }) => `${requestId} was served but did not run`);
 }
--- a/src/load/history.ts
+++ b/src/load/history.ts
@@ -9,7 +9,7 @@
 import type {
   ExecutionStart,
   ExecutionTrace,
-  FinalAnswer,
+  FinalResponse,
 } from "./execution_trace.ts";
 
 /** Schema of {@linkcode Call}. */
@@ -24,12 +24,12 @@
   /** Milliseconds since the epoch. */
   startedAt: z.number(),
   endedAt: z.number(),
-  /** HTTP status of the answer; 0 when the connection failed. */
+  /** HTTP status of the response; 0 when the connection failed. */
   status: z.number(),
   /** `not-run` if the request certainly has not run, `unknown` if it may have; null
    * for status 200. */
   outcome: z.enum(["not-run", "unknown"]).nullable(),
-  /** Whether the answer was complete and for this request; null if not checked. */
+  /** Whether the response was complete and for this request; null if not checked. */
   matched: z.boolean().nullable(),
 });
 
@@ -69,7 +69,7 @@
   runs: Run[];
 }
 
-/** Whether the caller received the backend server's answer. */
+/** Whether the request was served: the caller received a response of status 2xx. */
 export function isServed({ status }: Call): boolean {
   return status >= 200 && status < 300;
 }
@@ -85,7 +85,7 @@
   };
 }
 
-/** Converts a history to a trace for the checks. */
+/** Converts a history to a trace, which the checks use. */
 export function toExecutionTrace({ calls, runs }: History): ExecutionTrace {
   const starts = runs.map((run): ExecutionStart => ({
     at: run.startedAt,
@@ -95,27 +95,27 @@
     token: run.token,
     requestId: run.requestId,
   }));
-  const answers = calls.map((call): FinalAnswer => ({
+  const responses = calls.map((call): FinalResponse => ({
     call: call.requestId,
     at: call.endedAt,
-    arrivedAt: call.startedAt,
+    startedAt: call.startedAt,
     requestId: call.requestId,
     kind: isServed(call) ? "served" : call.outcome ?? "unknown",
     reason: `status ${call.status}`,
   }));
-  return { starts, answers };
+  return { starts, responses };
 }
 
-/** Calls whose answer was incomplete or belonged to another request. */
+/** Returns the calls whose response was incomplete or belonged to another request. */
 export function findMismatches({ calls }: History): string[] {
   return calls.filter((call) => call.matched === false)
     .map(({ requestId, target }) => `${requestId} at ${target}`);
 }
 
 /**
- * The longest time, in milliseconds, between two served answers for the same
- * key, and that key. Requests for each key are sent continuously, so this bounds
- * the time for which a key was unavailable.
+ * Returns the longest time between two served requests for the same key, in
+ * milliseconds, and that key. Requests for each key are sent continuously, so no key
+ * was unavailable for longer.
  */
 export function longestGap({ calls }: History): { key: string; gap: number } {
   const last = new Map<string, number>();
--- a/src/load/history_check.ts
+++ b/src/load/history_check.ts
@@ -4,11 +4,11 @@
  * @module
  */
 import {
-  findAnswersWithoutExecution,
   findExecutedRefusals,
   findOwnershipBreaches,
-  findRepeatedAnswers,
   findRepeatedExecutions,
+  findRepeatedResponses,
+  findResponsesWithoutExecution,
 } from "./execution_trace.ts";
 import { findMismatches, type History, toExecutionTrace } from "./history.ts";
 
@@ -21,9 +21,9 @@
 }
 
 /**
- * Runs all checks. Those on executions are left out if the history has none, since
- * callers' records alone don't contain them. Idempotent methods may be executed
- * again, so only `POST` counts for "at most once".
+ * Runs all checks. Those that need executions are left out if the history has none,
+ * since it may contain only the records of callers. Requests of idempotent methods
+ * may run again, so only `POST` counts for "at most once".
  */
 export function checkHistory(history: History): CheckResult[] {
   const trace = toExecutionTrace(history);
@@ -33,7 +33,7 @@
   });
   const results = [
     { name: "answers match", breaches: findMismatches(history) },
-    { name: "one answer each", breaches: findRepeatedAnswers(trace) },
+    { name: "one answer each", breaches: findRepeatedResponses(trace) },
   ];
   if (history.runs.length === 0) return results;
   return [
@@ -41,6 +41,6 @@
     { name: "one owner", breaches: findOwnershipBreaches(trace) },
     { name: "at most once", breaches: findRepeatedExecutions(nonIdempotent) },
     { name: "not-run is true", breaches: findExecutedRefusals(trace) },
-    { name: "served work ran", breaches: findAnswersWithoutExecution(trace) },
+    { name: "served work ran", breaches: findResponsesWithoutExecution(trace) },
   ];
 }
--- a/src/load/history_test.ts
+++ b/src/load/history_test.ts
@@ -41,7 +41,7 @@
   );
 });
 
-test("longestGap: the time between two served answers for one key", (t) => {
+test("longestGap: the time between two served requests for one key", (t) => {
   const calls = [
     createCall("a", { endedAt: 10 }),
     createCall("b", { endedAt: 40, key: "other" }),
--- a/src/load/load_generator.ts
+++ b/src/load/load_generator.ts
@@ -10,20 +10,20 @@
 import { LatencyHistogram } from "../metrics/index.ts";
 import type { Call } from "./history.ts";
 
-/** Statuses that guarantee that no server has run the request or will run it. */
+/** HTTP statuses that guarantee that no server has run the request or will run it. */
 const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
 
 /** Parameters of a load. */
 export interface LoadPlan {
-  /** Entry processes as `host:port`; each caller uses the same one while it is
-   * ready. */
+  /** Addresses of entry processes as `host:port`. Each caller uses the same one while
+   * it is ready. */
   targets: string[];
   service: string;
   /** Encodes the callers' headers. */
   codec: HeaderCodec;
   host: string;
   path: string;
-  /** Time that a caller allows for an answer, in milliseconds. */
+  /** Timeout of a request, in milliseconds. */
   timeout: number;
   /** Number of distinct keys; 0 for requests without a key. */
   keys: number;
@@ -42,11 +42,11 @@
   isReady?: (target: string) => boolean;
 }
 
-/** Outcomes of a load. */
+/** Result of a load. */
 export interface LoadResult {
   calls: Call[];
   latencies: LatencyHistogram;
-  /** Duration of the load. */
+  /** Duration of the load, in seconds. */
   seconds: number;
 }
 
@@ -123,16 +123,16 @@
     matched: null,
   };
   try {
-    const answer = await pool.request({
+    const result = await pool.request({
       method: plan.method,
       path: plan.path,
       headers,
       body,
     });
-    const text = await answer.body.text();
-    call.status = answer.statusCode;
-    if (answer.statusCode !== 200) call.outcome = toOutcome(answer.statusCode);
-    if (answer.statusCode === 200 && hasBody) call.matched = text === body;
+    const text = await result.body.text();
+    call.status = result.statusCode;
+    if (result.statusCode !== 200) call.outcome = toOutcome(result.statusCode);
+    if (result.statusCode === 200 && hasBody) call.matched = text === body;
   } catch {
     call.outcome = "unknown";
   }
@@ -144,12 +144,15 @@
   return randomBytes(Math.ceil(size / 2)).toString("hex").slice(0, size);
 }
 
-/** The outcome of a request that was answered with another status than 200. */
+/** Returns the outcome of a request whose response has another status than 200. */
 function toOutcome(status: number): Call["outcome"] {
   return NOT_RUN_STATUSES.has(status) ? "not-run" : "unknown";
 }
 
-/** The key of a request; `keys` distinct keys are spread evenly over all keys. */
+/**
+ * Returns the key of the request with this number. The requests use `keys` distinct
+ * keys, which are spread evenly over the key space.
+ */
 function spreadKey(number: number, keys: number): number {
   return Math.floor((number % keys) * KEY_COUNT / keys);
 }
--- a/src/settings/declaration_files_test.ts
+++ b/src/settings/declaration_files_test.ts
@@ -12,7 +12,7 @@
   lookup: { host: h.example, path: /stock/, to: stock }
 `;
 
-/** The error message for a folder with this overlay, without the folder's path. */
+/** Returns the error message for a folder with this overlay, without the folder's path. */
 function readMessage(overlay: string, base = BASE): string {
   const folder = mkdtempSync(join(tmpdir(), "plumloft-declaration-"));
   mkdirSync(join(folder, "sites"));
--- a/src/settings/entry_settings.ts
+++ b/src/settings/entry_settings.ts
@@ -16,11 +16,12 @@
   availabilityZone: z.string().min(1),
   /** Address that callers connect to. */
   listen: addressSchema,
-  /** Address of the readiness check that the load balancer reads. */
+  /** Address that the load balancer's readiness checks are sent to. */
   readiness: addressSchema,
   /** Address that the other entry processes connect to. */
   peer: addressSchema,
-  /** Peers to contact while the store is unreachable; some may no longer exist. */
+  /** Peer addresses to contact while the store is unreachable. Some may be out of
+   * date. */
   seeds: z.array(addressSchema).default([]),
   /** Address that serves metrics and status to operators. */
   admin: addressSchema,
@@ -42,7 +43,8 @@
   }).prefault({}),
   leases: leaseTimingSchema.prefault({}),
   retries: retryLimitsSchema.prefault({}),
-  /** Maximum time until a draining server receives no new requests. */
+  /** Maximum time from the start of the draining of a server until it receives no new
+   * requests. */
   drainTime: z.number().positive().default(2_000),
   /** Time from a shutdown request until the process is terminated forcibly. */
   shutdownTimeoutSeconds: z.number().positive().default(6),
--- a/src/settings/invalid_input.ts
+++ b/src/settings/invalid_input.ts
@@ -1,5 +1,5 @@
 /**
- * The error for invalid input of an operator.
+ * The error that is thrown for invalid input of an operator.
  *
  * @module
  */
--- a/src/settings/yaml_file.ts
+++ b/src/settings/yaml_file.ts
@@ -10,11 +10,11 @@
 import type { z } from "zod";
 import { type InputIssue, InvalidInput } from "./invalid_input.ts";
 
-/** A validated file, and the lines of its values. */
+/** The value of a validated file, and the lines of its parts. */
 export interface YamlFile<T> {
   file: string;
   value: T;
-  /** Line of the value at `path`, counted from 1; 0 when unknown. */
+  /** Returns the line of the part at `path`, counted from 1; 0 when unknown. */
   lineOf(path: readonly (string | number)[]): number;
 }
 
@@ -121,7 +121,7 @@
   return text.length > 60 ? `${text.slice(0, 57)}...` : text;
 }
 
-/** Line of the value at `path`, or of its closest ancestor that exists. */
+/** Returns the line of the value at `path`, or of its closest ancestor that exists. */
 function findLine(
   document: Document,
   lineCounter: LineCounter,
--- a/src/settings/yaml_file_test.ts
+++ b/src/settings/yaml_file_test.ts
@@ -13,7 +13,7 @@
 store: { address: 127.0.0.1:5, memberTimeToLive: 1200 }
 `;
 
-/** The error message for the settings with `from` replaced by `to`. */
+/** Returns the error message for the settings with `from` replaced by `to`. */
 function parseMessage(from: string, to: string): string {
   const text = SETTINGS.replace(from, to);
   try {
--- a/tools/generate_code_cache.ts
+++ b/tools/generate_code_cache.ts
@@ -1,7 +1,7 @@
 /**
  * Starts and stops an entry process on free loopback ports, then writes the V8
- * code cache of all functions that ran. The cache is stored beside the bundle, in
- * the folder given by the argument.
+ * code cache of all functions that ran. The cache is stored in the folder of the
+ * bundle, which the argument names.
  *
  * @module
  */
--- a/tools/run_tests.ts
+++ b/tools/run_tests.ts
@@ -8,10 +8,10 @@
 import { existsSync, readFileSync } from "node:fs";
 import { createInterface } from "node:readline";
 
-/** Lists known failures, one on each line: `title | cause | issue`. */
+/** File that lists known failures, one on each line: `title | cause | issue`. */
 const KNOWN_FAILURES_FILE = "KNOWN-RED.txt";
 
-/** A result line of the Test Anything Protocol. */
+/** Matches a result line of the Test Anything Protocol. */
 const TAP_RESULT = /^(not )?ok \d+ - (.*)$/;
 
 function readKnownFailures(): string[] {
