--- a/test/ownership/request_load.ts
+++ b/test/ownership/request_load.ts
@@ -77,7 +77,7 @@
 export interface LimitedArrival {
   server: string;
   at: number;
-  /** Whether its VM had forwarded an answer with the limit at least
+  /** Whether its VM had forwarded a response with the limit at least
    * {@linkcode LIMIT_PROPAGATION_TIME} before. */
   isLimitKnown: boolean;
 }
