--- a/bench/quarantine.ts
+++ b/bench/quarantine.ts
@@ -62,19 +62,19 @@
   const conditions = { vms };
   const lastQuarantined = Math.max(...quarantinedAt.values());
   const print = (name: string, value: number, unit: string) =>
-    printMeasurement({ name: `quarantine: ${name}`, value, unit, conditions });
-  print("VMs that quarantine it", quarantinedAt.size, "VMs");
+    printMeasurement({ name: `held back: ${name}`, value, unit, conditions });
+  print("VMs that hold it", quarantinedAt.size, "VMs");
   print(
-    "last VM after the third crash",
+    "last VM after the third end",
     lastQuarantined - serverCrashTimes[2],
     "ms",
   );
-  print("runs in total", load!.crashingRuns.length, "runs");
-  print("messages with crash records", quarantineMessages.length, "messages");
+  print("runs in all", load!.crashingRuns.length, "runs");
+  print("messages that tell of it", quarantineMessages.length, "messages");
   const bytes = quarantineMessages.map(({ kind, quarantine }) => {
     const part = { kind, quarantine };
     return encodeFrame(part).length;
   });
   const totalBytes = bytes.reduce((total, size) => total + size, 0);
-  print("size of the crash records", totalBytes, "bytes");
+  print("what they tell", totalBytes, "bytes");
 }
--- a/bench/scaling.ts
+++ b/bench/scaling.ts
@@ -61,8 +61,8 @@
   const frame = encodeFrame(message, true);
   const bytes = {
     "in the store": document.length,
-    "message to a follower, uncompressed": encodeFrame(message).length,
-    "message to a follower, deflated": frame.length,
+    "to a follower, plain": encodeFrame(message).length,
+    "to a follower, deflated": frame.length,
   };
   for (const [form, value] of Object.entries(bytes)) {
     const conditions = { form, routes };
@@ -74,14 +74,13 @@
     });
   }
   const steps = {
-    "decode the document": () => decodeConfiguration(document),
-    "encode the message, once for all followers": () =>
-      encodeFrame(message, true),
-    "decode the message": () =>
+    "read of the document": () => decodeConfiguration(document),
+    "frame made, once for all": () => encodeFrame(message, true),
+    "frame read": () =>
       FrameDecoder.create().push(frame).map((decoded) =>
         peerMessageSchema.parse(decoded)
       ),
-    "apply": () => Catalog.create().apply(configuration),
+    "put in force": () => Catalog.create().apply(configuration),
   };
   for (const [step, run] of Object.entries(steps)) {
     const conditions = { step, routes };
@@ -158,7 +157,7 @@
     conditions: {
       servers,
       keyed: String(isKeyed),
-      crashRecords,
+      accused: crashRecords,
       pending: entry.dispatcher.pending,
     },
   });
@@ -176,7 +175,7 @@
   };
   const steps = {
     head: () => void create().head,
-    complete: () => void create().complete,
+    whole: () => void create().complete,
   };
   for (const [part, run] of Object.entries(steps)) {
     for (let i = 0; i < REQUESTS / 20; i++) run();
