--- a/src/core/catalog/catalog.ts
+++ b/src/core/catalog/catalog.ts
@@ -31,7 +31,7 @@
   }
 
   /** Whether a configuration is active. */
-  get isKnown(): boolean {
+  get isLoaded(): boolean {
     return this.#configuration !== null;
   }
 
--- a/src/core/cluster_state.ts
+++ b/src/core/cluster_state.ts
@@ -135,7 +135,7 @@
   /** Handles changes of the fleet: passes them to the crash detector, closes connections
    * to servers that were removed or have restarted, and logs each change. */
   applyServerChanges(changes: readonly FleetChange[], now: number): void {
-    this.crashDetector.changed(changes, now);
+    this.crashDetector.applyServerChanges(changes, now);
     for (const { kind, server } of changes) {
       if (kind === "removed" || kind === "restarted") {
         this.emit({ kind: "connections.close", server: server.id });
--- a/src/core/dispatch/dispatch_context.ts
+++ b/src/core/dispatch/dispatch_context.ts
@@ -32,7 +32,7 @@
   /** Time at which this process started, in milliseconds of its clock. */
   startedAt(): number;
   /** Number of VMs, or null when unknown. */
-  vms(): number | null;
+  vmCount(): number | null;
   /** Called when a server refused a key that is assigned to it in `directory`, so that
    * the assignment may be outdated. */
   keyRefused(): void;
--- a/src/core/dispatch/dispatch_effect.ts
+++ b/src/core/dispatch/dispatch_effect.ts
@@ -46,7 +46,7 @@
 }
 
 /** Writes a line to the log. */
-export interface Note {
+export interface LogLine {
   kind: "note";
   level: "info" | "warn" | "error";
   /** Name of the log line. */
@@ -61,4 +61,4 @@
   | Delivery
   | Refusal
   | ServerProbe
-  | Note;
+  | LogLine;
--- a/src/core/dispatch/dispatch_planner.ts
+++ b/src/core/dispatch/dispatch_planner.ts
@@ -120,7 +120,7 @@
       return this.#planKeyed(request, request.key, now);
     }
     const { cold, tokens } = this.context;
-    const vmCount = this.context.vms();
+    const vmCount = this.context.vmCount();
     const isUrgent = this.#isUrgent(request);
     const context = {
       fleet,
@@ -219,7 +219,7 @@
     if (!this.context.cold.maySend(server, now)) {
       return openEndedWait("the key's server is cold");
     }
-    if (!hasCapacity(server, now, this.context.vms())) {
+    if (!hasCapacity(server, now, this.context.vmCount())) {
       return openEndedWait("the key's server has no room");
     }
     return this.#checkRateLimit(request, server, now);
--- a/src/core/dispatch/dispatcher.ts
+++ b/src/core/dispatch/dispatcher.ts
@@ -282,12 +282,12 @@
       address: server.entry.address,
       load: Number(server.load(now).toFixed(1)),
       latency: server.latency === null ? null : Math.round(server.latency),
-      vms: this.context.vms(),
+      vms: this.context.vmCount(),
       assignments: `${term}.${version}`,
     });
     server.started(number, now);
     this.context.cold.requestSent(server, now);
-    this.context.tokens.started(server, now);
+    this.context.tokens.requestSent(server, now);
     this.#effects.push({
       kind: "attempt.start",
       attempt: number,
@@ -561,7 +561,7 @@
     if (!quarantine.hasRecord(arrival.fingerprint)) return;
     const { complete } = arrival.fingerprint;
     const mayStillRun = deliveredAttempt === null && sentCount > 0;
-    permits.ended(complete, arrival.id, mayStillRun);
+    permits.copyEnded(complete, arrival.id, mayStillRun);
   }
 
   /** Returns the collected effects and clears them. */
--- a/src/core/dispatch/dispatcher_test.ts
+++ b/src/core/dispatch/dispatcher_test.ts
@@ -110,7 +110,7 @@
     availabilityZone: "a",
     retryLimits: { ratio: 0.2, windowSeconds: 10, minimum: 50 },
     startedAt: () => -Infinity,
-    vms: () => vms,
+    vmCount: () => vms,
     keyRefused,
     rateLimitChanged: () => {},
     draw,
@@ -607,7 +607,7 @@
     availabilityZone: "a",
     retryLimits: { ratio: 0.2, windowSeconds: 10, minimum: 50 },
     startedAt: () => -Infinity,
-    vms: () => null,
+    vmCount: () => null,
     keyRefused: () => {},
     rateLimitChanged: () => {},
     draw: () => 0,
@@ -751,7 +751,7 @@
     undefined,
     denied,
   );
-  fleet.get("stock-1")!.rateLimit.answered(2, 0, 0);
+  fleet.get("stock-1")!.rateLimit.applyResponse(2, 0, 0);
   const [refusal] = summarize(arrive("/lookup/", 10));
   t.regex(
     refusal,
@@ -768,12 +768,12 @@
     undefined,
     denied,
   );
-  fleet.get("orders-1")!.rateLimit.answered(2, 0, 0);
+  fleet.get("orders-1")!.rateLimit.applyResponse(2, 0, 0);
   t.deepEqual(summarize(arrive("/order/", 10)), [
     "start orders-2, 500 ms left",
   ]);
-  fleet.get("reads-1")!.rateLimit.answered(2, 0, 11);
-  fleet.get("reads-2")!.rateLimit.answered(2, 0, 11);
+  fleet.get("reads-1")!.rateLimit.applyResponse(2, 0, 11);
+  fleet.get("reads-2")!.rateLimit.applyResponse(2, 0, 11);
   const effects = [...arrive("/read/", 12), ...dispatcher.advance(13)];
   t.regex(
     summarize(effects)[0],
@@ -783,7 +783,7 @@
 
 test("dispatch: a waiting request is sent once its token is granted", (t) => {
   const { arrive, fleet, dispatcher, tokens } = createDispatcher();
-  fleet.get("stock-1")!.rateLimit.answered(2, 0, 0);
+  fleet.get("stock-1")!.rateLimit.applyResponse(2, 0, 0);
   t.deepEqual(summarize(arrive("/lookup/", 10)), []);
   tokens.applyAnswer("stock-1", { isGranted: true, left: 0 }, 13);
   t.deepEqual(summarize(dispatcher.advance(13)), [
--- a/src/core/dispatch/local_responses.ts
+++ b/src/core/dispatch/local_responses.ts
@@ -115,10 +115,10 @@
   unroutedRefusal(
     { exchange, id, host, target }: RequestArrival,
   ): DispatchEffect[] {
-    const { isKnown, version } = this.context.catalog;
-    const status = isKnown ? 404 : 503;
-    const reason = isKnown ? "no route" : "no configuration yet";
-    const retryAfter = isKnown ? null : UNCONFIGURED_RETRY_AFTER;
+    const { isLoaded, version } = this.context.catalog;
+    const status = isLoaded ? 404 : 503;
+    const reason = isLoaded ? "no route" : "no configuration yet";
+    const retryAfter = isLoaded ? null : UNCONFIGURED_RETRY_AFTER;
     return [
       {
         kind: "note",
--- a/src/core/dispatch/outcome_review.ts
+++ b/src/core/dispatch/outcome_review.ts
@@ -10,7 +10,7 @@
  */
 import type { TrackedServer } from "../fleet/index.ts";
 import type { DispatchContext } from "./dispatch_context.ts";
-import type { DispatchEffect, Note } from "./dispatch_effect.ts";
+import type { DispatchEffect, LogLine } from "./dispatch_effect.ts";
 import type { RangeBackoff } from "./range_backoff.ts";
 import type { Attempt, AttemptOutcome, PendingRequest } from "./request.ts";
 import type { RequestLog } from "./request_log.ts";
@@ -32,14 +32,14 @@
   | { kind: "deliver"; status: number }
   /** Retry the request and log `detail` unless it is null; if the request cannot be
    * retried, continue with `fallback`. */
-  | { kind: "retry"; detail: Note["detail"] | null; fallback: NextStep }
+  | { kind: "retry"; detail: LogLine["detail"] | null; fallback: NextStep }
   /** Dispatch the request like a new one, because no server received it. */
   | { kind: "dispatch" }
   /** Refuse the request, which has not run. */
   | { kind: "refuse"; reason: string }
   /** Fail the request, which may have run and has no response; log `detail` unless it is
    * null. */
-  | { kind: "fail"; reason: string; detail: Note["detail"] | null };
+  | { kind: "fail"; reason: string; detail: LogLine["detail"] | null };
 
 /** See the module's comment. */
 export class OutcomeReview {
@@ -118,7 +118,7 @@
     const isTrusted = (isGenuine || isNotRun) &&
       (respondingServer ?? id) === id;
     if (!isTrusted || rateLimit === undefined || !server?.has(number)) return;
-    const change = server.rateLimit.answered(rateLimit, startedAt, now);
+    const change = server.rateLimit.applyResponse(rateLimit, startedAt, now);
     if (change !== null) {
       this.context.rateLimitChanged({ server, change }, now);
     }
@@ -180,7 +180,7 @@
     attempt: Attempt,
     now: number,
   ): void {
-    if (server?.has(attempt.number)) this.context.crashes.ended(server, now);
+    if (server?.has(attempt.number)) this.context.crashes.exited(server, now);
   }
 
   /** Records that the server does not own the key or has exited, so that the assignment
--- a/src/core/dispatch/request.ts
+++ b/src/core/dispatch/request.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { Route } from "../catalog/index.ts";
-import type { Note } from "./dispatch_effect.ts";
+import type { LogLine } from "./dispatch_effect.ts";
 import type { Fingerprint } from "../quarantine/index.ts";
 import type { ReportedLoad } from "../fleet/index.ts";
 import type { AssignedRange } from "../keyspace/index.ts";
@@ -107,7 +107,7 @@
    * server's address is being probed. */
   retryNotBefore: number;
   /** Log lines that are written only if a notable event of the request follows. */
-  deferredLines: Note[];
+  deferredLines: LogLine[];
   /** Whether a notable event has occurred, so that its further log lines are written at
    * once. */
   isLogged: boolean;
--- a/src/core/dispatch/request_log.ts
+++ b/src/core/dispatch/request_log.ts
@@ -5,32 +5,32 @@
  *
  * @module
  */
-import type { Note } from "./dispatch_effect.ts";
+import type { LogLine } from "./dispatch_effect.ts";
 import type { PendingRequest } from "./request.ts";
 
 /** See the module's comment. */
 export class RequestLog {
   private constructor(
     private readonly version: () => number,
-    private readonly emit: (...lines: Note[]) => void,
+    private readonly emit: (...lines: LogLine[]) => void,
   ) {}
 
   /** Creates a log that adds the configuration's `version` to each line and passes the
    * lines to `emit`. */
   static create(
     version: () => number,
-    emit: (...lines: Note[]) => void,
+    emit: (...lines: LogLine[]) => void,
   ): RequestLog {
     return new RequestLog(version, emit);
   }
 
   /** Writes a line about a notable event, after the deferred lines of the request. */
   write(
-    level: Note["level"],
+    level: LogLine["level"],
     decision: string,
     request: PendingRequest,
     now: number,
-    detail: Note["detail"],
+    detail: LogLine["detail"],
   ): void {
     this.emit(...request.deferredLines);
     request.deferredLines = [];
@@ -43,7 +43,7 @@
     decision: string,
     request: PendingRequest,
     now: number,
-    detail: Note["detail"],
+    detail: LogLine["detail"],
   ): void {
     const line = this.#createLine("info", decision, request, now, detail);
     if (request.isLogged) this.emit(line);
@@ -51,12 +51,12 @@
   }
 
   #createLine(
-    level: Note["level"],
+    level: LogLine["level"],
     decision: string,
     request: PendingRequest,
     now: number,
-    detail: Note["detail"],
-  ): Note {
+    detail: LogLine["detail"],
+  ): LogLine {
     return {
       kind: "note",
       level,
--- a/src/core/dispatch/retry_policy.ts
+++ b/src/core/dispatch/retry_policy.ts
@@ -77,13 +77,13 @@
 
   /** Whether a retry is left in this VM's share of the budget. */
   mayWithdraw(request: PendingRequest, now: number): boolean {
-    const vmCount = this.context.vms() ?? ASSUMED_VM_COUNT;
+    const vmCount = this.context.vmCount() ?? ASSUMED_VM_COUNT;
     return this.#budget(request.service).remaining(now, vmCount) >= 1;
   }
 
   /** Takes a retry from this VM's share of the budget; false if none is left. */
   withdraw(request: PendingRequest, now: number): boolean {
-    const vmCount = this.context.vms() ?? ASSUMED_VM_COUNT;
+    const vmCount = this.context.vmCount() ?? ASSUMED_VM_COUNT;
     return this.#budget(request.service).withdraw(now, vmCount);
   }
 
--- a/src/core/entry.ts
+++ b/src/core/entry.ts
@@ -60,7 +60,7 @@
     this.clusterState = ClusterState.create(
       emit,
       ({ request: { id, fingerprint } }) =>
-        this.peers.permitExchange.permits.serverEnded(fingerprint, id),
+        this.peers.permitExchange.permits.serverCrashed(fingerprint, id),
     );
     const { catalog, fleet, directory, keyLimits } = this.clusterState;
     const { quarantine, crashDetector } = this.clusterState;
@@ -98,7 +98,7 @@
       availabilityZone: options.availabilityZone,
       retryLimits: options.retryLimits,
       startedAt: () => this.#startedAt,
-      vms: () => this.vms,
+      vmCount: () => this.vms,
       keyRefused: () => this.peers.keyRefused(),
       rateLimitChanged: (change, now) =>
         this.peers.rateLimitChanged(change, now),
@@ -251,7 +251,7 @@
       case "server.checked": {
         const { crashDetector, fleet } = this.clusterState;
         if (!event.isRefused) return crashDetector.probeSucceeded(event.server);
-        return crashDetector.ended(fleet.get(event.server), now);
+        return crashDetector.exited(fleet.get(event.server), now);
       }
       case "callers.closed":
         return this.#shutdown.callersClosed();
@@ -407,8 +407,8 @@
 
   /** Reports this process as ready while it has a configuration and is not stopping. */
   #updateReadiness(): void {
-    const isKnown = this.clusterState.catalog.isKnown;
-    const isReady = isKnown && !this.#shutdown.isStarted;
+    const isLoaded = this.clusterState.catalog.isLoaded;
+    const isReady = isLoaded && !this.#shutdown.isStarted;
     if (isReady === this.#isReady) return;
     this.#isReady = isReady;
     this.clusterState.logDecision("readiness.changed", { isReady });
--- a/src/core/exchange/permit_exchange.ts
+++ b/src/core/exchange/permit_exchange.ts
@@ -51,8 +51,8 @@
   /** Uses the VM at address `holder` as the term holder from now on. If it is this VM, it
    * issues permits. */
   follow(holder: string, now: number): void {
-    if (holder === this.ownAddress) this.#issuer.begin(now);
-    else this.#issuer.end();
+    if (holder === this.ownAddress) this.#issuer.activate(now);
+    else this.#issuer.deactivate();
   }
 
   /** Handles a message from the VM at `address`. */
@@ -77,7 +77,7 @@
         if (address !== this.clusterState.holder?.address) return;
         return this.permits.applyAnswer(request, message, now);
       case "permit.returned":
-        return this.#issuer.released(request, address, message.hasEnded);
+        return this.#issuer.release(request, address, message.hasEnded);
     }
   }
 
@@ -110,7 +110,7 @@
     const address = this.clusterState.holder?.address;
     if (address === undefined) return;
     if (address === this.ownAddress) {
-      return this.#issuer.released(request, address, hasCrashed);
+      return this.#issuer.release(request, address, hasCrashed);
     }
     this.emit({
       kind: "peer.send",
--- a/src/core/exchange/permit_exchange_test.ts
+++ b/src/core/exchange/permit_exchange_test.ts
@@ -47,7 +47,7 @@
   t.is(check(b, "3", ISSUING_FROM + 4), "asked");
   deliver(vms, ISSUING_FROM + 5);
   t.is(check(b, "3", ISSUING_FROM + 6), "denied");
-  a.exchange.permits.ended(REQUEST, "1", false);
+  a.exchange.permits.copyEnded(REQUEST, "1", false);
   deliver(vms, ISSUING_FROM + 10);
   t.is(check(holder, "4", ISSUING_FROM + 300), "granted");
 });
--- a/src/core/exchange/quarantine_exchange.ts
+++ b/src/core/exchange/quarantine_exchange.ts
@@ -163,7 +163,7 @@
     vmCount: number | null,
     now: number,
   ): QuarantineSend[] {
-    this.quarantine.expire(now);
+    this.quarantine.advance(now);
     const updates = this.#updatePeers(now);
     if (silence < HOLDER_TIMEOUT) return updates;
     return [...updates, ...this.#updateSeeds(vmCount ?? 0, now)];
--- a/src/core/exchange/quarantine_record_test.ts
+++ b/src/core/exchange/quarantine_record_test.ts
@@ -17,7 +17,7 @@
     for (const serverProcess of ["a#1", "b#1", "c#1"]) {
       quarantine.recordCrash(request, "h/crash", serverProcess, 0);
     }
-    quarantine.expire(QUARANTINED_AT);
+    quarantine.advance(QUARANTINED_AT);
   };
   return { quarantine, record, quarantineRequest };
 }
@@ -40,7 +40,7 @@
   quarantineRequest();
   record.advance(QUARANTINED_AT);
   quarantineRequest("other");
-  quarantine.expire(QUARANTINED_AT + 200);
+  quarantine.advance(QUARANTINED_AT + 200);
   record.written(true, QUARANTINED_AT + 300);
   t.is(record.advance(QUARANTINED_AT + 400)?.records.length, 2);
 });
--- a/src/core/exchange/state_exchange.ts
+++ b/src/core/exchange/state_exchange.ts
@@ -49,7 +49,7 @@
       this.clusterState.senderState(),
       quarantineUpdate,
       holder,
-      !this.clusterState.catalog.isKnown,
+      !this.clusterState.catalog.isLoaded,
       this.store.isLost,
     );
     this.emit(...requests);
@@ -91,7 +91,7 @@
     now: number,
   ): HolderAddress | null {
     const { clusterState } = this;
-    if (!this.store.isLost && clusterState.catalog.isKnown) return null;
+    if (!this.store.isLost && clusterState.catalog.isLoaded) return null;
     const { configuration, servers, assignments, holder } = state;
     if (configuration !== undefined) clusterState.configure(configuration);
     clusterState.applyServerChanges(
--- a/src/core/exchange/state_publisher_test.ts
+++ b/src/core/exchange/state_publisher_test.ts
@@ -60,7 +60,7 @@
   /** Advances the holder to `now`; all its orders and writes succeed. */
   const advanceHolder = (now: number) => {
     for (const effect of holder.advance(["s"], now, Infinity, 0, true)) {
-      if (effect.kind === "assignments.write") holder.record.confirm();
+      if (effect.kind === "assignments.write") holder.recordWriter.confirm();
       else if ("order" in effect) {
         holder.onOrderEnded(
           effect.order,
--- a/src/core/exchange/token_exchange.ts
+++ b/src/core/exchange/token_exchange.ts
@@ -55,7 +55,7 @@
    * hands out tokens. */
   follow(holder: string, now: number): void {
     this.#hasTokenSupport = false;
-    if (holder === this.ownAddress) this.#buckets.begin(now);
+    if (holder === this.ownAddress) this.#buckets.reset(now);
   }
 
   /** Handles the holder's answer to a report, which shows whether it supports token
--- a/src/core/exchange/token_exchange_test.ts
+++ b/src/core/exchange/token_exchange_test.ts
@@ -22,7 +22,7 @@
     const clusterState = ClusterState.create(emit);
     clusterState.fleet.apply([backendServer("s")], [], 0);
     const server = clusterState.fleet.get("s")!;
-    server.rateLimit.answered(1_000 / TOKEN_INTERVAL, 0, 0);
+    server.rateLimit.applyResponse(1_000 / TOKEN_INTERVAL, 0, 0);
     const exchange = TokenExchange.create(
       clusterState,
       emit,
@@ -47,7 +47,7 @@
       const kind = vm.check(now);
       deliver(vms, now);
       if (kind !== "ready" && vm.check(now) !== "ready") continue;
-      vm.exchange.tokens.started(vm.server, now);
+      vm.exchange.tokens.requestSent(vm.server, now);
       sent += 1;
     }
   }
--- a/src/core/fleet/reported_rate_limit.ts
+++ b/src/core/fleet/reported_rate_limit.ts
@@ -57,7 +57,7 @@
    * a limit was last reported, since the server may have created it before the limit
    * applied. Returns whether a limit came into force or ended, or null.
    */
-  answered(
+  applyResponse(
     requestsPerSecond: number | null,
     sentAt: number,
     now: number,
--- a/src/core/fleet/reported_rate_limit_test.ts
+++ b/src/core/fleet/reported_rate_limit_test.ts
@@ -3,8 +3,8 @@
 
 test("reported rate limit: the end of a low limit is reported until the limit would expire", (t) => {
   const rateLimit = ReportedRateLimit.create();
-  rateLimit.answered(0.1, 0, 0);
-  t.is(rateLimit.answered(null, 11_000, 12_000), "unlimited");
+  rateLimit.applyResponse(0.1, 0, 0);
+  t.is(rateLimit.applyResponse(null, 11_000, 12_000), "unlimited");
   t.deepEqual(rateLimit.takeUnsent(12_000), {
     requestsPerSecond: null,
     age: 0,
@@ -18,14 +18,14 @@
 
 test("reported rate limit: applies until the server stops reporting it", (t) => {
   const rateLimit = ReportedRateLimit.create();
-  t.is(rateLimit.answered(null, 0, 10), null);
-  t.is(rateLimit.answered(6, 0, 20), "limited");
-  t.is(rateLimit.answered(5, 0, 30), null);
+  t.is(rateLimit.applyResponse(null, 0, 10), null);
+  t.is(rateLimit.applyResponse(6, 0, 20), "limited");
+  t.is(rateLimit.applyResponse(5, 0, 30), null);
   t.is(rateLimit.current(40), 5);
   // The request was sent before the limit was reported, so the response may predate it.
-  t.is(rateLimit.answered(null, 25, 50), null);
+  t.is(rateLimit.applyResponse(null, 25, 50), null);
   t.is(rateLimit.current(50), 5);
-  t.is(rateLimit.answered(null, 35, 60), "unlimited");
+  t.is(rateLimit.applyResponse(null, 35, 60), "unlimited");
   t.is(rateLimit.current(60), null);
 });
 
@@ -34,7 +34,7 @@
     const [limit, lifetime] of [[6, 10_000], [0.1, 40_000], [0.001, 60_000]]
   ) {
     const rateLimit = ReportedRateLimit.create();
-    rateLimit.answered(limit, 0, 0);
+    rateLimit.applyResponse(limit, 0, 0);
     t.is(rateLimit.current(lifetime - 1), limit);
     t.is(rateLimit.current(lifetime), null);
   }
@@ -51,7 +51,7 @@
     rateLimit.applyPeerReport({ requestsPerSecond: null, age: 300 }, 1_100),
     null,
   );
-  t.is(rateLimit.answered(null, 950, 1_200), "unlimited");
+  t.is(rateLimit.applyResponse(null, 950, 1_200), "unlimited");
   t.deepEqual(rateLimit.takeUnsent(1_210), {
     requestsPerSecond: null,
     age: 10,
--- a/src/core/keyspace/term_campaign.ts
+++ b/src/core/keyspace/term_campaign.ts
@@ -279,8 +279,8 @@
   ): KeyspaceEffect[] {
     if (this.holder?.term !== term) return [];
     if (outcome === "superseded") return this.#pause(now);
-    if (outcome === "done") this.holder.record.confirm();
-    else this.holder.record.scheduleRetry(now);
+    if (outcome === "done") this.holder.recordWriter.confirm();
+    else this.holder.recordWriter.scheduleRetry(now);
     return [];
   }
 
--- a/src/core/keyspace/term_holder.ts
+++ b/src/core/keyspace/term_holder.ts
@@ -55,7 +55,7 @@
  */
 export class TermHolder {
   /** Writes the assignments of this term to the store. */
-  readonly record: RecordWriter;
+  readonly recordWriter: RecordWriter;
   readonly #tables = new Map<string, RangeTable>();
   readonly #orders: OrderTracker;
   readonly #rebalancer: KeyRebalancer;
@@ -74,7 +74,7 @@
     nextOrder: () => number,
   ) {
     this.#orders = OrderTracker.create(term, timing, nextOrder);
-    this.record = RecordWriter.create(term);
+    this.recordWriter = RecordWriter.create(term);
     this.#rebalancer = KeyRebalancer.create(fleet, loads);
     this.#servers = RangeServers.create(fleet);
     this.#transitions = RangeTransitions.create(this.#servers);
@@ -263,7 +263,7 @@
     const isMoveDue = mayMove && this.#rebalancer.tryStartCheck(service, now);
     if (isMoveDue && isFullyFenced(table)) this.#startMoves(table, now);
     const { version } = this;
-    const write = this.record.advance(this.#allTables, version, now);
+    const write = this.recordWriter.advance(this.#allTables, version, now);
     if (write !== null) this.#effects.push(write);
   }
 
--- a/src/core/quarantine/crash_detector.ts
+++ b/src/core/quarantine/crash_detector.ts
@@ -127,7 +127,7 @@
 
   /** Records that the known process of a server has exited: its address refused a
    * connection, or another process responded there. */
-  ended(server: TrackedServer | undefined, now: number): void {
+  exited(server: TrackedServer | undefined, now: number): void {
     if (server === undefined || server.entry.isDraining) return;
     const state = this.#currentState(server, now);
     state.exitedAt ??= now;
@@ -144,7 +144,7 @@
   }
 
   /** Applies changes to the list of servers in the registry. */
-  changed(changes: readonly FleetChange[], now: number): void {
+  applyServerChanges(changes: readonly FleetChange[], now: number): void {
     for (const { kind, server } of changes) {
       const state = this.#states.get(server.id);
       if (state === undefined) continue;
--- a/src/core/quarantine/crash_detector_test.ts
+++ b/src/core/quarantine/crash_detector_test.ts
@@ -32,9 +32,9 @@
 test("crash detector: a refused connection attributes a crash to requests that broke before and after", (t) => {
   const { detector, crashCount, server } = createDetector();
   detector.connectionBroke(server("s-1"), REQUEST, 0);
-  detector.ended(server("s-1"), 5);
+  detector.exited(server("s-1"), 5);
   t.is(crashCount(), 1);
-  detector.ended(server("s-2"), 10);
+  detector.exited(server("s-2"), 10);
   detector.connectionBroke(server("s-2"), REQUEST, 12);
   t.is(crashCount(), 2);
 });
@@ -43,9 +43,9 @@
   const { detector, crashCount, server, fleet } = createDetector();
   detector.connectionBroke(server("s-1"), REQUEST, 0);
   detector.connectionBroke(server("s-2"), REQUEST, 0);
-  detector.changed(fleet.apply([], ["s-1"], 4_000), 4_000);
+  detector.applyServerChanges(fleet.apply([], ["s-1"], 4_000), 4_000);
   t.is(crashCount(), 1);
-  detector.changed(fleet.apply([], ["s-2"], 9_000), 9_000);
+  detector.applyServerChanges(fleet.apply([], ["s-2"], 9_000), 9_000);
   t.is(crashCount(), 1);
 });
 
@@ -53,10 +53,10 @@
   const { detector, crashCount, server, fleet } = createDetector();
   detector.connectionBroke(server("s-1"), REQUEST, 0);
   const next = backendServer("s-1", { incarnation: 2 });
-  detector.changed(fleet.apply([next], [], 500), 500);
+  detector.applyServerChanges(fleet.apply([next], [], 500), 500);
   t.is(crashCount(), 1);
   detector.connectionBroke(server("s-1"), REQUEST, 1_000);
-  detector.ended(server("s-1"), 1_001);
+  detector.exited(server("s-1"), 1_001);
   t.is(crashCount(), 2);
 });
 
@@ -64,12 +64,12 @@
   const { detector, crashCount, server, fleet } = createDetector();
   const startDraining = (id: string) =>
     fleet.apply([backendServer(id, { isDraining: true })], [], 0);
-  detector.changed(startDraining("s-1"), 0);
+  detector.applyServerChanges(startDraining("s-1"), 0);
   detector.connectionBroke(server("s-1"), REQUEST, 10);
-  detector.ended(server("s-1"), 20);
+  detector.exited(server("s-1"), 20);
   detector.connectionBroke(server("s-2"), REQUEST, 10);
-  detector.changed(startDraining("s-2"), 20);
-  detector.changed(fleet.apply([], ["s-2"], 30), 30);
+  detector.applyServerChanges(startDraining("s-2"), 20);
+  detector.applyServerChanges(fleet.apply([], ["s-2"], 30), 30);
   t.is(crashCount(), 0);
 });
 
--- a/src/core/quarantine/permit_issuer.ts
+++ b/src/core/quarantine/permit_issuer.ts
@@ -43,13 +43,13 @@
   }
 
   /** Activates the issuer when this VM is announced as term holder. */
-  begin(now: number): void {
+  activate(now: number): void {
     this.#issued.clear();
     this.#activeFrom = now + MAXIMUM_PERMIT;
   }
 
   /** Deactivates the issuer when another VM is announced as term holder. */
-  end(): void {
+  deactivate(): void {
     this.#issued.clear();
     this.#activeFrom = Infinity;
   }
@@ -82,7 +82,7 @@
 
   /** Releases the permit of the VM at `address`. `hasCrashed` states whether the copy
    * with the permit crashed a server. */
-  released(request: string, address: string, hasCrashed: boolean): void {
+  release(request: string, address: string, hasCrashed: boolean): void {
     const issued = this.#issued.get(request);
     if (issued?.address !== address) return;
     if (!hasCrashed) {
--- a/src/core/quarantine/quarantine.ts
+++ b/src/core/quarantine/quarantine.ts
@@ -222,7 +222,7 @@
 
   /** Checks all records: quarantines requests that have reached their crash limit,
    * releases quarantined requests for a trial, and removes expired records. */
-  expire(now: number): void {
+  advance(now: number): void {
     if (now - this.#expiredAt < EXPIRY_INTERVAL) return;
     this.#expiredAt = now;
     for (const crashes of this.#records.values()) this.#advance(crashes, now);
--- a/src/core/quarantine/quarantine_test.ts
+++ b/src/core/quarantine/quarantine_test.ts
@@ -56,7 +56,7 @@
     quarantine.recordCrash(HARMLESS.complete, "h/harmless", run, 0);
   }
   quarantine.recordCrash(HARMFUL.complete, "h/harmful", "s-2#1", 0);
-  quarantine.expire(DELAY);
+  quarantine.advance(DELAY);
   t.is(quarantine.crashCount(HARMLESS), 0);
   quarantine.recordCrash(HARMLESS.complete, "h/harmless", "s-3#1", DELAY);
   t.is(quarantine.hold(HARMLESS, 3 * DELAY), null);
@@ -76,7 +76,7 @@
 test("quarantine: the record of a request expires after a trial without crashes", (t) => {
   const quarantine = quarantineAfter(3);
   t.false(isHeld(quarantine, 2 * MINUTE));
-  quarantine.expire(HOUR);
+  quarantine.advance(HOUR);
   t.deepEqual(quarantine.replicatedRecords(HOUR), []);
   t.is(quarantine.digest, 0);
 });
@@ -90,7 +90,7 @@
 
 test("quarantine: the number of records is bounded, and quarantined requests are kept", (t) => {
   const quarantine = quarantineAfter(3);
-  quarantine.expire(DELAY);
+  quarantine.advance(DELAY);
   for (let i = 0; i < 10_000; i++) {
     quarantine.recordCrash(`request-${i}`, "h/x", "s-7#1", DELAY + i);
   }
@@ -155,7 +155,7 @@
     quarantine.recordCrash(HARMLESS.complete, "h/harmless", run, 0);
     quarantine.recordCrash(HARMFUL.complete, "h/harmful", run, 0);
   }
-  quarantine.expire(DELAY);
+  quarantine.advance(DELAY);
   t.true(isHeld(quarantine, DELAY));
 });
 
--- a/src/core/quarantine/run_permits.ts
+++ b/src/core/quarantine/run_permits.ts
@@ -119,7 +119,7 @@
 
   /** Records the end of a copy, and releases its permit unless the copy may still run on
    * a server. */
-  ended(request: string, copy: string, mayStillRun: boolean): void {
+  copyEnded(request: string, copy: string, mayStillRun: boolean): void {
     const permit = this.#permits.get(request);
     if (permit?.copy !== copy || permit.state === "denied") return;
     const isGranted = permit.state === "granted";
@@ -129,7 +129,7 @@
   }
 
   /** Records that a server crashed while it ran a copy, and releases the copy's permit. */
-  serverEnded(request: string, copy: string): void {
+  serverCrashed(request: string, copy: string): void {
     const permit = this.#permits.get(request);
     if (permit?.copy !== copy || permit.state !== "granted") return;
     this.#permits.delete(request);
--- a/src/core/quarantine/run_permits_test.ts
+++ b/src/core/quarantine/run_permits_test.ts
@@ -9,7 +9,7 @@
 
 function activeIssuer(): PermitIssuer {
   const issuer = PermitIssuer.create();
-  issuer.begin(0);
+  issuer.activate(0);
   return issuer;
 }
 
@@ -19,7 +19,7 @@
     requestPermit: (request, duration, now) =>
       issuer.issue(request, address, duration, now),
     release: (request, hasCrashed) =>
-      issuer.released(request, address, hasCrashed),
+      issuer.release(request, address, hasCrashed),
   });
 }
 
@@ -31,7 +31,7 @@
   t.is(a.check(REQUEST, "1", 800, ACTIVE_AT + 1).kind, "granted");
   t.is(a.check(REQUEST, "2", 800, ACTIVE_AT + 1).kind, "denied");
   t.is(b.check(REQUEST, "3", 800, ACTIVE_AT + 1).kind, "denied");
-  a.ended(REQUEST, "1", false);
+  a.copyEnded(REQUEST, "1", false);
   // A denial applies for a while, but not for as long as the permit was valid.
   t.is(b.check(REQUEST, "4", 800, ACTIVE_AT + 10).kind, "denied");
   t.is(b.check(REQUEST, "4", 800, ACTIVE_AT + 300).kind, "granted");
@@ -41,7 +41,7 @@
   const issuer = activeIssuer();
   const a = permitsAt("a", issuer);
   a.check(REQUEST, "1", 800, ACTIVE_AT);
-  a.ended(REQUEST, "1", true);
+  a.copyEnded(REQUEST, "1", true);
   t.is(a.check(REQUEST, "2", 800, ACTIVE_AT + 799).kind, "denied");
   t.is(a.check(REQUEST, "2", 800, ACTIVE_AT + 800).kind, "granted");
 });
@@ -50,9 +50,9 @@
   const issuer = activeIssuer();
   const a = permitsAt("a", issuer);
   a.check(REQUEST, "1", 800, ACTIVE_AT);
-  a.serverEnded(REQUEST, "1");
+  a.serverCrashed(REQUEST, "1");
   t.is(a.check(REQUEST, "2", 800, ACTIVE_AT + 50).kind, "granted");
-  a.serverEnded(REQUEST, "2");
+  a.serverCrashed(REQUEST, "2");
   t.is(a.check(REQUEST, "3", 800, ACTIVE_AT + 800).kind, "denied");
   t.is(a.check(REQUEST, "3", 800, ACTIVE_AT + 1_100).kind, "granted");
 });
@@ -65,7 +65,7 @@
     left: 1,
   });
   t.true(issuer.issue(REQUEST, "a", 800, ACTIVE_AT).isGranted);
-  issuer.end();
+  issuer.deactivate();
   t.false(issuer.issue(REQUEST, "a", 800, ACTIVE_AT + 5_000).isGranted);
 });
 
@@ -76,7 +76,7 @@
     release: (request) => released.push(request),
   });
   t.is(permits.check(REQUEST, "1", 800, 0).kind, "asked");
-  permits.ended(REQUEST, "1", false);
+  permits.copyEnded(REQUEST, "1", false);
   permits.applyAnswer(REQUEST, { isGranted: true, left: 800 }, 10);
   t.deepEqual(released, [REQUEST]);
 });
@@ -110,8 +110,8 @@
             running.set(vm, { copy, until: now + duration });
           }
         } else if (own !== undefined && action !== "check") {
-          if (action === "crashed") vms[vm].serverEnded(REQUEST, own.copy);
-          else vms[vm].ended(REQUEST, own.copy, action === "broken");
+          if (action === "crashed") vms[vm].serverCrashed(REQUEST, own.copy);
+          else vms[vm].copyEnded(REQUEST, own.copy, action === "broken");
           if (action !== "broken") running.delete(vm);
         }
       }
--- a/src/core/rates/rate_tokens.ts
+++ b/src/core/rates/rate_tokens.ts
@@ -154,7 +154,7 @@
   }
 
   /** Records that a request was sent to a server, which uses the token or the share. */
-  started(server: TrackedServer, now: number): void {
+  requestSent(server: TrackedServer, now: number): void {
     const limit = server.rateLimit.current(now);
     if (limit === null) return;
     const state = this.#states.get(server.id);
--- a/src/core/rates/rate_tokens_test.ts
+++ b/src/core/rates/rate_tokens_test.ts
@@ -8,7 +8,7 @@
   const fleet = Fleet.create();
   fleet.apply([backendServer("s")], [], 0);
   const server = fleet.get("s")!;
-  server.rateLimit.answered(requestsPerSecond, 0, 0);
+  server.rateLimit.applyResponse(requestsPerSecond, 0, 0);
   return server;
 }
 
@@ -38,7 +38,7 @@
   t.is(requested, 1);
   tokens.applyAnswer("s", { isGranted: true, left: 0 }, 4);
   t.is(tokens.check(server, true, 5).kind, "ready");
-  tokens.started(server, 5);
+  tokens.requestSent(server, 5);
   t.is(tokens.check(server, true, 6).kind, "asked");
   t.is(requested, 2);
 });
@@ -70,7 +70,7 @@
   let sent = 0;
   for (let now = 0; now < 9_000; now += 10) {
     if (tokens.check(server, true, now).kind !== "ready") continue;
-    tokens.started(server, now);
+    tokens.requestSent(server, now);
     sent += 1;
   }
   // A tenth of 5 requests per second, less the time spent on timeouts.
--- a/src/core/rates/token_bucket.ts
+++ b/src/core/rates/token_bucket.ts
@@ -48,7 +48,7 @@
 
   /** Empties all buckets when this VM becomes the term holder, since the tokens that the
    * previous term holder granted are unknown. */
-  begin(now: number): void {
+  reset(now: number): void {
     this.#buckets.clear();
     this.#termStartedAt = now;
   }
--- a/src/core/rates/token_bucket_test.ts
+++ b/src/core/rates/token_bucket_test.ts
@@ -36,7 +36,7 @@
 test("token bucket: a new term holder starts with empty buckets", (t) => {
   const buckets = TokenBuckets.create();
   buckets.take("s", 2, true, 900);
-  buckets.begin(1_000);
+  buckets.reset(1_000);
   t.false(buckets.take("s", 2, true, 1_000).isGranted);
   t.false(buckets.take("s", 2, true, 1_499).isGranted);
   t.true(buckets.take("s", 2, true, 1_500).isGranted);
--- a/src/runtime/effect_runner.ts
+++ b/src/runtime/effect_runner.ts
@@ -7,7 +7,7 @@
 import type {
   AttemptStart,
   Delivery,
-  Note,
+  LogLine,
   Refusal,
 } from "../core/dispatch/index.ts";
 import type {
@@ -162,7 +162,7 @@
     callers.close();
   }
 
-  #log({ level, decision, detail }: Note): void {
+  #log({ level, decision, detail }: LogLine): void {
     this.adapters.metrics.count("decisions_total", `decision="${decision}"`);
     this.adapters.logger.write(level, decision, detail);
   }
--- a/test/platform_test.ts
+++ b/test/platform_test.ts
@@ -693,7 +693,7 @@
   const released: number[] = [];
   for (let now = 0; now < 30_000; now += 50) {
     for (const effect of holder.advance(["s"], now, Infinity, 0, true)) {
-      if (effect.kind === "assignments.write") holder.record.confirm();
+      if (effect.kind === "assignments.write") holder.recordWriter.confirm();
       if (effect.kind === "order.release") released.push(now);
       if (effect.kind !== "order.grant") continue;
       grants.push(now);
