--- a/test/support/caller_connection.ts
+++ b/test/support/caller_connection.ts
@@ -15,7 +15,7 @@
 import { loopbackAddress } from "./loopback_address.ts";
 
 /** A caller server and an open connection to it. */
-export interface CallerConnection {
+export interface ConnectedCaller {
   server: CallerServer;
   socket: Socket;
   /** Events that the server has emitted. */
@@ -30,7 +30,7 @@
 export async function connectCaller(
   t: ExecutionContext,
   limits: CallerLimits,
-): Promise<CallerConnection> {
+): Promise<ConnectedCaller> {
   const events: UntimedEvent[] = [];
   const lag = LoopLag.create();
   const server = CallerServer.create(
