--- a/bench/idle_cost.ts
+++ b/bench/idle_cost.ts
@@ -13,8 +13,10 @@
 
 const ENTRIES = 4;
 const SERVERS = 4;
-/** Time from the start of the deployment to the start of the measurement, in
- * milliseconds. */
+/**
+ * Time from the start of the deployment to the start of the measurement, in
+ * milliseconds.
+ */
 const SETTLING_TIME = 4_000;
 /** Duration of the measurement, in milliseconds. */
 const MEASURED_TIME = 20_000;
--- a/bench/scaling.ts
+++ b/bench/scaling.ts
@@ -45,9 +45,11 @@
   for (const routes of [100, 2_100, 5_000]) measureConfiguration(routes);
 }
 
-/** Measures the size of a configuration in the store and in a message to a follower,
+/**
+ * Measures the size of a configuration in the store and in a message to a follower,
  * and the time that it takes to decode the document, to encode and decode the message,
- * and to apply the configuration. */
+ * and to apply the configuration.
+ */
 function measureConfiguration(routes: number): void {
   const configuration = largeConfiguration(7, routes);
   const document = encodeConfiguration(configuration);
@@ -97,8 +99,10 @@
   return (performance.now() - startedAt) / MEASURED_RUNS;
 }
 
-/** Measures the time to dispatch a request while `crashRecords` other requests have a
- * crash record. */
+/**
+ * Measures the time to dispatch a request while `crashRecords` other requests have a
+ * crash record.
+ */
 function measureRequests(
   servers: number,
   isKeyed: boolean,
@@ -163,8 +167,10 @@
   });
 }
 
-/** Measures the time to compute a request's fingerprint, without its body (the head)
- * and with it (the complete fingerprint). */
+/**
+ * Measures the time to compute a request's fingerprint, without its body (the head)
+ * and with it (the complete fingerprint).
+ */
 function measureFingerprint(size: number): void {
   const body = Buffer.alloc(size, "x");
   const parts = { method: "POST", host: "h.example" };
--- a/src/core/catalog/catalog.ts
+++ b/src/core/catalog/catalog.ts
@@ -19,8 +19,10 @@
   #routes = RouteTable.create([]);
   #services = new Map<string, Service>();
   #rotations = new Map<string, WeightedRotation>();
-  /** Most urgent priority, that is, the lowest number, among the routes to each service,
-   * by its name. */
+  /**
+   * Most urgent priority, that is, the lowest number, among the routes to each service,
+   * by its name.
+   */
   #topPriorities = new Map<string, number>();
 
   private constructor() {}
@@ -59,8 +61,10 @@
     return [...this.#services.values()].filter((each) => each.isKeyed);
   }
 
-  /** Activates `next` if its version is higher than that of the active configuration.
-   * Returns whether it is. */
+  /**
+   * Activates `next` if its version is higher than that of the active configuration.
+   * Returns whether it is.
+   */
   apply(next: Configuration): boolean {
     if (next.version <= this.version) return false;
     this.#configuration = next;
@@ -71,8 +75,10 @@
     return true;
   }
 
-  /** Returns the route of a request to a host and target (path and query), or
-   * undefined. */
+  /**
+   * Returns the route of a request to a host and target (path and query), or
+   * undefined.
+   */
   route(host: string, target: string): Route | undefined {
     return this.#routes.find(host, target);
   }
--- a/src/core/catalog/configuration.ts
+++ b/src/core/catalog/configuration.ts
@@ -41,21 +41,27 @@
 /** See {@linkcode routeSchema}. */
 export type Route = z.infer<typeof routeSchema>;
 
-/** A group of backend servers. They are either interchangeable, or each of them owns its
- * keys exclusively. */
+/**
+ * A group of backend servers. They are either interchangeable, or each of them owns its
+ * keys exclusively.
+ */
 export const serviceSchema = z.object({
   name,
   /** Maximum connections that one server accepts from all VMs combined. */
   maximumConnections: z.number().int().positive(),
   /** Whether each key is owned by exactly one server. */
   isKeyed: z.boolean(),
-  /** Warm-up of servers that have just started; without it, they receive their full load
-   * from the start. */
+  /**
+   * Warm-up of servers that have just started; without it, they receive their full load
+   * from the start.
+   */
   warmUp: z.object({
     /** Time for which a server counts as cold after its start. */
     duration,
-    /** Maximum requests per second that a cold server can run, from all VMs
-     * combined. */
+    /**
+     * Maximum requests per second that a cold server can run, from all VMs
+     * combined.
+     */
     requestsPerSecond: z.number().positive(),
   }).optional(),
 });
@@ -63,8 +69,10 @@
 /** See {@linkcode serviceSchema}. */
 export type Service = z.infer<typeof serviceSchema>;
 
-/** Limits on the size of callers' requests in bytes, and timeouts for slow or idle
- * callers. */
+/**
+ * Limits on the size of callers' requests in bytes, and timeouts for slow or idle
+ * callers.
+ */
 export const callerLimitsSchema = z.object({
   maximumHeaderBytes: z.number().int().positive(),
   maximumBodyBytes: z.number().int().nonnegative(),
--- a/src/core/cluster_state.ts
+++ b/src/core/cluster_state.ts
@@ -56,8 +56,10 @@
     private readonly onCrash: (crash: CrashAttribution) => void,
   ) {}
 
-  /** Creates an empty state that passes its effects to `emit`. `onCrash` is called for
-   * each request that a server was running when it crashed. */
+  /**
+   * Creates an empty state that passes its effects to `emit`. `onCrash` is called for
+   * each request that a server was running when it crashed.
+   */
   static create(
     emit: Emit,
     onCrash: (crash: CrashAttribution) => void = () => {},
@@ -70,8 +72,10 @@
     return this.#holder;
   }
 
-  /** The part of this VM's state that every message to another VM includes. `position` is
-   * that of the assignments. */
+  /**
+   * The part of this VM's state that every message to another VM includes. `position` is
+   * that of the assignments.
+   */
   senderState(position = this.directory.position): SenderState {
     const { term, version } = position;
     const evacuation = this.fleet.evacuations.snapshot;
@@ -132,8 +136,10 @@
     });
   }
 
-  /** Handles changes of the fleet: passes them to the crash detector, closes connections
-   * to servers that were removed or have restarted, and logs each change. */
+  /**
+   * Handles changes of the fleet: passes them to the crash detector, closes connections
+   * to servers that were removed or have restarted, and logs each change.
+   */
   applyServerChanges(changes: readonly FleetChange[], now: number): void {
     this.crashDetector.applyServerChanges(changes, now);
     for (const { kind, server } of changes) {
@@ -151,8 +157,10 @@
     }
   }
 
-  /** Handles the end of an outage of the store: servers whose registry entries expired
-   * during the outage get time to register again. */
+  /**
+   * Handles the end of an outage of the store: servers whose registry entries expired
+   * during the outage get time to register again.
+   */
   storeRegained(now: number): void {
     this.fleet.recovered(now);
     this.logDecision("store.regained", {});
@@ -172,9 +180,11 @@
     }
   }
 
-  /** Applies changes of the assignments since version `since`. They are ignored if this
+  /**
+   * Applies changes of the assignments since version `since`. They are ignored if this
    * VM's version is another one; the next report to the term holder then shows that this
-   * VM lacks them. */
+   * VM lacks them.
+   */
   applyAssignmentChanges(changes: readonly Assignment[], since: number): void {
     for (const change of changes) {
       if (!this.directory.applyChanges(change, since)) continue;
--- a/src/core/declaration/check.ts
+++ b/src/core/declaration/check.ts
@@ -44,8 +44,10 @@
   return issues;
 }
 
-/** Checks that an overlay names only services or routes, depending on `part`, that the
- * base file has. */
+/**
+ * Checks that an overlay names only services or routes, depending on `part`, that the
+ * base file has.
+ */
 function checkNames(
   document: string,
   part: string,
--- a/src/core/declaration/document.ts
+++ b/src/core/declaration/document.ts
@@ -14,8 +14,10 @@
 const milliseconds = z.number().int().positive();
 const count = z.number().int().positive();
 
-/** Limits on the size of callers' requests in bytes, and timeouts for slow or idle
- * callers. */
+/**
+ * Limits on the size of callers' requests in bytes, and timeouts for slow or idle
+ * callers.
+ */
 export const limitsSchema = z.strictObject({
   maximumHeaderBytes: count.default(16 * 1024),
   maximumBodyBytes: count.default(64 * 1024 * 1024),
--- a/src/core/dispatch/cold_admission.ts
+++ b/src/core/dispatch/cold_admission.ts
@@ -13,8 +13,10 @@
 import type { TrackedServer } from "../fleet/index.ts";
 import { RateShare } from "../rates/index.ts";
 
-/** Number of VMs that are assumed to share a server while the actual number is unknown.
- * It is high, because too few requests are safer than too many. */
+/**
+ * Number of VMs that are assumed to share a server while the actual number is unknown.
+ * It is high, because too few requests are safer than too many.
+ */
 const ASSUMED_VM_COUNT = 64;
 
 /** See the module's comment. Times are milliseconds. */
@@ -25,8 +27,10 @@
     private readonly rateShare: RateShare,
   ) {}
 
-  /** Enforces the warm-up rates in `catalog`, divided among `vmCount` VMs (null when
-   * unknown); `draw` returns random numbers in [0, 1). */
+  /**
+   * Enforces the warm-up rates in `catalog`, divided among `vmCount` VMs (null when
+   * unknown); `draw` returns random numbers in [0, 1).
+   */
   static create(
     catalog: Catalog,
     vmCount: () => number | null,
@@ -54,8 +58,10 @@
     else this.rateShare.requestSent(server.id, interval, now);
   }
 
-  /** Interval between requests of this VM to a server, in milliseconds; null if the
-   * server is not cold. */
+  /**
+   * Interval between requests of this VM to a server, in milliseconds; null if the
+   * server is not cold.
+   */
   #interval(server: TrackedServer, now: number): number | null {
     const { warmUp } = this.catalog.service(server.entry.service) ?? {};
     if (warmUp === undefined || !server.isCold(now, warmUp.duration)) {
--- a/src/core/dispatch/cold_admission_test.ts
+++ b/src/core/dispatch/cold_admission_test.ts
@@ -51,8 +51,10 @@
   rate: number;
 }
 
-/** Times at which VMs send to one cold server if each VM sends all requests that it may
- * send, in milliseconds. */
+/**
+ * Times at which VMs send to one cold server if each VM sends all requests that it may
+ * send, in milliseconds.
+ */
 function sendTimes({ vms, seed, discoversAt, rate }: Scenario): number[] {
   const catalog = catalogWith({ duration: WARM_UP, requestsPerSecond: RATE });
   const draw = uniformFloat64(seed);
--- a/src/core/dispatch/dispatch_context.ts
+++ b/src/core/dispatch/dispatch_context.ts
@@ -33,8 +33,10 @@
   startedAt(): number;
   /** Number of VMs, or null when unknown. */
   vmCount(): number | null;
-  /** Called when a server refused a key that is assigned to it in `directory`, so that
-   * the assignment may be outdated. */
+  /**
+   * Called when a server refused a key that is assigned to it in `directory`, so that
+   * the assignment may be outdated.
+   */
   keyRefused(): void;
   /** Called when the rate limit of a server has begun, changed or ended. */
   rateLimitChanged(change: ServerRateLimitChange, now: number): void;
--- a/src/core/dispatch/dispatch_planner.ts
+++ b/src/core/dispatch/dispatch_planner.ts
@@ -11,27 +11,35 @@
 import type { PendingRequest } from "./request.ts";
 import { chooseServer, hasCapacity } from "./server_choice.ts";
 
-/** Time for which requests are still sent to a draining server for its keys, in
- * milliseconds, while the keys are moved to other servers. */
+/**
+ * Time for which requests are still sent to a draining server for its keys, in
+ * milliseconds, while the keys are moved to other servers.
+ */
 const DRAINING_KEY_GRACE = 700;
 
-/** Time for which requests are still sent to a server in an evacuated availability zone
+/**
+ * Time for which requests are still sent to a server in an evacuated availability zone
  * for its keys, in milliseconds. It is longer than {@linkcode DRAINING_KEY_GRACE},
  * because many keys move at the same time. All VMs learn of an evacuation within 1 s, so
- * the total stays within the 5 s that operators allow for an evacuation. */
+ * the total stays within the 5 s that operators allow for an evacuation.
+ */
 const EVACUATED_KEY_GRACE = 3_200;
 
 /** Whether and where a request can be sent now. */
 export type DispatchPlan =
   | { kind: "server"; server: TrackedServer }
-  /** Refused because the key is overloaded: only `share` of its requests is admitted,
-   * according to a limit that is `age` milliseconds old. */
+  /**
+   * Refused because the key is overloaded: only `share` of its requests is admitted,
+   * according to a limit that is `age` milliseconds old.
+   */
   | { kind: "shed"; reason: string; share: number; age: number }
   /** Refused because the request is quarantined: servers crashed while they ran it. */
   | { kind: "quarantined"; hold: Hold }
-  /** Refused because waiting would not help: the request has crashed a server and another
+  /**
+   * Refused because waiting would not help: the request has crashed a server and another
    * copy of it is running, all servers are leaving, or a rate limit is reached
-   * (`isRateLimited`). */
+   * (`isRateLimited`).
+   */
   | { kind: "refuse"; reason: string; isRateLimited: boolean }
   /** Cannot be sent now, but may be later. */
   | {
@@ -49,8 +57,10 @@
 /** A plan to queue a request. */
 export type WaitPlan = DispatchPlan & { kind: "wait" };
 
-/** A wait of unknown duration, for example until a server has capacity or registers
- * again. */
+/**
+ * A wait of unknown duration, for example until a server has capacity or registers
+ * again.
+ */
 function openEndedWait(reason: string): DispatchPlan {
   return {
     kind: "wait",
@@ -146,8 +156,10 @@
     return openEndedWait("no server has room");
   }
 
-  /** Checks the permit of a request that has crashed a server, since only one copy of it
-   * may run at a time. Returns null if the request may run. */
+  /**
+   * Checks the permit of a request that has crashed a server, since only one copy of it
+   * may run at a time. Returns null if the request may run.
+   */
   #checkPermit(request: PendingRequest, now: number): DispatchPlan | null {
     const { quarantine, permits } = this.context;
     const { fingerprint, id } = request.arrival;
@@ -173,8 +185,10 @@
     return this.context.catalog.isMostUrgent(route, service);
   }
 
-  /** Share of the requests for a key that is admitted, from 0 to 1. A load that the
-   * server has just reported to this VM takes precedence over the limit on the key. */
+  /**
+   * Share of the requests for a key that is admitted, from 0 to 1. A load that the
+   * server has just reported to this VM takes precedence over the limit on the key.
+   */
   #admittedShare(
     service: string,
     key: number,
@@ -247,8 +261,10 @@
   }
 }
 
-/** Time until which requests are sent to a server for its keys; Infinity for a server
- * that is not leaving. */
+/**
+ * Time until which requests are sent to a server for its keys; Infinity for a server
+ * that is not leaving.
+ */
 function keysServedUntil(
   { drainingSince, evacuatedSince }: TrackedServer,
 ): number {
--- a/src/core/dispatch/dispatcher.ts
+++ b/src/core/dispatch/dispatcher.ts
@@ -116,8 +116,10 @@
     return this.#takeEffects();
   }
 
-  /** Responds with 504 to all requests with an attempt in flight. The response unblocks
-   * the requests that are pipelined behind it on the caller's connection. */
+  /**
+   * Responds with 504 to all requests with an attempt in flight. The response unblocks
+   * the requests that are pipelined behind it on the caller's connection.
+   */
   failInFlightRequests(reason: string, now: number): DispatchEffect[] {
     for (const request of [...this.#requests.values()]) {
       if (request.attempts.length === 0) continue;
@@ -248,8 +250,10 @@
     this.#queues.add(request);
   }
 
-  /** Sends a request to a server; returns false if this is a retry and the retry budget
-   * is used up. All attempts are sent by this method, so none can bypass the budget. */
+  /**
+   * Sends a request to a server; returns false if this is a retry and the retry budget
+   * is used up. All attempts are sent by this method, so none can bypass the budget.
+   */
   #send(request: PendingRequest, server: TrackedServer, now: number): boolean {
     if (request.sentCount > 0 && !this.#retryPolicy.withdraw(request, now)) {
       return false;
@@ -304,8 +308,10 @@
     return this.context.directory.find(service, key) ?? null;
   }
 
-  /** Carries out the step that follows an attempt. While another attempt of the request
-   * is in flight, only a response ends the request. */
+  /**
+   * Carries out the step that follows an attempt. While another attempt of the request
+   * is in flight, only a response ends the request.
+   */
   #applyStep(
     request: PendingRequest,
     attempt: Attempt,
@@ -464,8 +470,10 @@
     this.#effects.push(refusal);
   }
 
-  /** Ends a request that is not sent again: with a 502 response if it may have run,
-   * otherwise with a refusal. */
+  /**
+   * Ends a request that is not sent again: with a 502 response if it may have run,
+   * otherwise with a refusal.
+   */
   #refuseOrFail(request: PendingRequest, reason: string, now: number): void {
     if (request.mayHaveRun) this.#fail(request, 502, reason, now);
     else this.#refuse(request, reason, now);
@@ -551,8 +559,10 @@
     }
   }
 
-  /** Releases the permit of a request that has crashed a server, unless the request was
-   * sent and has no response: it may then still be running. */
+  /**
+   * Releases the permit of a request that has crashed a server, unless the request was
+   * sent and has no response: it may then still be running.
+   */
   #releasePermit(
     { arrival, sentCount }: PendingRequest,
     deliveredAttempt: number | null,
--- a/src/core/dispatch/dispatcher_test.ts
+++ b/src/core/dispatch/dispatcher_test.ts
@@ -17,8 +17,10 @@
 import { Dispatcher } from "./dispatcher.ts";
 import type { AttemptOutcome } from "./request.ts";
 
-/** Creates a dispatcher with a keyed service, `stock`, and two others, `orders` and
- * `reads`, with two servers each. The keys are assigned to `stock-1`. */
+/**
+ * Creates a dispatcher with a keyed service, `stock`, and two others, `orders` and
+ * `reads`, with two servers each. The keys are assigned to `stock-1`.
+ */
 function createDispatcher(
   vms: number | null = 8,
   draw = () => 0,
@@ -654,8 +656,10 @@
   ]);
 });
 
-/** Records at time 0 that a request crashed three servers, which quarantines it from
- * 1,000 ms on. */
+/**
+ * Records at time 0 that a request crashed three servers, which quarantines it from
+ * 1,000 ms on.
+ */
 function quarantineRequest(quarantine: Quarantine, path: string): void {
   for (const run of ["a#1", "b#1", "c#1"]) {
     quarantine.recordCrash(fingerprintOf(path).complete, path, run, 0);
--- a/src/core/dispatch/local_responses.ts
+++ b/src/core/dispatch/local_responses.ts
@@ -23,8 +23,10 @@
     private readonly retryAfterPolicy: RetryAfterPolicy,
   ) {}
 
-  /** Creates responses that are written to `log` and have retry delays from
-   * `retryAfterPolicy`. */
+  /**
+   * Creates responses that are written to `log` and have retry delays from
+   * `retryAfterPolicy`.
+   */
   static create(
     context: DispatchContext,
     log: RequestLog,
@@ -51,9 +53,11 @@
     };
   }
 
-  /** Refuses a request that has not run and is quarantined for `left` more milliseconds.
+  /**
+   * Refuses a request that has not run and is quarantined for `left` more milliseconds.
    * The status is 429. A 503 would describe the service as temporarily unavailable rather
-   * than the request as the cause, and many callers would retry immediately. */
+   * than the request as the cause, and many callers would retry immediately.
+   */
   quarantineRefusal(
     request: PendingRequest,
     reason: string,
@@ -88,8 +92,10 @@
     };
   }
 
-  /** Refuses a request while this VM is stopping. The retry delay is short, since another
-   * VM can accept the request immediately. */
+  /**
+   * Refuses a request while this VM is stopping. The retry delay is short, since another
+   * VM can accept the request immediately.
+   */
   shutdownRefusal(
     { exchange, id, host, target }: RequestArrival,
   ): DispatchEffect[] {
--- a/src/core/dispatch/outcome_review.ts
+++ b/src/core/dispatch/outcome_review.ts
@@ -15,12 +15,16 @@
 import type { Attempt, AttemptOutcome, PendingRequest } from "./request.ts";
 import type { RequestLog } from "./request_log.ts";
 
-/** Delay before a request is sent again to the server of its key after that server did
- * not run it, in milliseconds; doubles with each consecutive time. */
+/**
+ * Delay before a request is sent again to the server of its key after that server did
+ * not run it, in milliseconds; doubles with each consecutive time.
+ */
 const KEY_REFUSAL_DELAY = 30;
-/** Delay before a request whose connection broke is sent again, in milliseconds. It
+/**
+ * Delay before a request whose connection broke is sent again, in milliseconds. It
  * covers the probe of the server's address, which shows whether the server crashed, and
- * is longer than the time for which an overloaded server resets connections. */
+ * is longer than the time for which an overloaded server resets connections.
+ */
 const BROKEN_ATTEMPT_DELAY = 30;
 
 /** Outcome of an attempt to which a server responded. */
@@ -30,15 +34,19 @@
 export type NextStep =
   /** Pass the response to the caller. */
   | { kind: "deliver"; status: number }
-  /** Retry the request and log `detail` unless it is null; if the request cannot be
-   * retried, continue with `fallback`. */
+  /**
+   * Retry the request and log `detail` unless it is null; if the request cannot be
+   * retried, continue with `fallback`.
+   */
   | { kind: "retry"; detail: LogLine["detail"] | null; fallback: NextStep }
   /** Dispatch the request like a new one, because no server received it. */
   | { kind: "dispatch" }
   /** Refuse the request, which has not run. */
   | { kind: "refuse"; reason: string }
-  /** Fail the request, which may have run and has no response; log `detail` unless it is
-   * null. */
+  /**
+   * Fail the request, which may have run and has no response; log `detail` unless it is
+   * null.
+   */
   | { kind: "fail"; reason: string; detail: LogLine["detail"] | null };
 
 /** See the module's comment. */
@@ -50,8 +58,10 @@
     private readonly emit: (effect: DispatchEffect) => void,
   ) {}
 
-  /** Creates a review that records refused key ranges in `rangeBackoff`, writes to `log`
-   * and passes server probes to `emit`. */
+  /**
+   * Creates a review that records refused key ranges in `rangeBackoff`, writes to `log`
+   * and passes server probes to `emit`.
+   */
   static create(
     context: DispatchContext,
     rangeBackoff: RangeBackoff,
@@ -106,8 +116,10 @@
     return { kind: "retry", detail, fallback: deliver };
   }
 
-  /** Records the rate limit, or its absence, in a response from the server to which the
-   * attempt was sent. */
+  /**
+   * Records the rate limit, or its absence, in a response from the server to which the
+   * attempt was sent.
+   */
   #updateRateLimit(
     { number, server: id, startedAt }: Attempt,
     { server: respondingServer, isGenuine, isNotRun, rateLimit }:
@@ -153,8 +165,10 @@
     return { kind: "retry", detail: null, fallback };
   }
 
-  /** Records that an attempt ended without a valid response, and emits a probe of the
-   * server's address if necessary: the server may have crashed while it ran the request. */
+  /**
+   * Records that an attempt ended without a valid response, and emits a probe of the
+   * server's address if necessary: the server may have crashed while it ran the request.
+   */
   #recordBrokenAttempt(
     { arrival }: PendingRequest,
     attempt: Attempt,
@@ -173,8 +187,10 @@
     if (probe !== null) this.emit(probe);
   }
 
-  /** Records that a server process has exited: its address refuses connections, or
-   * another process responds there. */
+  /**
+   * Records that a server process has exited: its address refuses connections, or
+   * another process responds there.
+   */
   #recordExit(
     server: TrackedServer | undefined,
     attempt: Attempt,
@@ -183,8 +199,10 @@
     if (server?.has(attempt.number)) this.context.crashes.exited(server, now);
   }
 
-  /** Records that the server does not own the key or has exited, so that the assignment
-   * known to this VM may be outdated. */
+  /**
+   * Records that the server does not own the key or has exited, so that the assignment
+   * known to this VM may be outdated.
+   */
   #recordKeyRefusal(
     request: PendingRequest,
     attempt: Attempt,
@@ -229,8 +247,10 @@
   }
 }
 
-/** Handles an attempt without a valid response: the request may have run, so it is
- * retried only if it is idempotent. */
+/**
+ * Handles an attempt without a valid response: the request may have run, so it is
+ * retried only if it is idempotent.
+ */
 function retryOrFail(
   request: PendingRequest,
   { server }: Attempt,
@@ -247,8 +267,10 @@
     : fail;
 }
 
-/** Permits another attempt at the server of the request's key after a delay, since that
- * server did not run the request and no other one can. */
+/**
+ * Permits another attempt at the server of the request's key after a delay, since that
+ * server did not run the request and no other one can.
+ */
 function delayKeyRetry(
   request: PendingRequest,
   { server }: Attempt,
--- a/src/core/dispatch/range_backoff.ts
+++ b/src/core/dispatch/range_backoff.ts
@@ -11,11 +11,15 @@
  */
 import type { AssignedRange } from "../keyspace/index.ts";
 
-/** Delay after the first refusal of a range, in milliseconds; doubles with each further
- * one. */
+/**
+ * Delay after the first refusal of a range, in milliseconds; doubles with each further
+ * one.
+ */
 const INITIAL_DELAY = 30;
-/** Maximum delay, in milliseconds. It limits how late this VM notices that the server
- * owns the range after all, if the term holder sends no new assignment. */
+/**
+ * Maximum delay, in milliseconds. It limits how late this VM notices that the server
+ * owns the range after all, if the term holder sends no new assignment.
+ */
 const MAXIMUM_DELAY = 240;
 
 /** Backoff state of one range. */
@@ -47,8 +51,10 @@
     return this.#backoffs.get(range)?.blockedUntil ?? -Infinity;
   }
 
-  /** Records that a request was sent for `range`. During a backoff the request is a
-   * probe, and the other requests wait for one more delay. */
+  /**
+   * Records that a request was sent for `range`. During a backoff the request is a
+   * probe, and the other requests wait for one more delay.
+   */
   requestSent(range: AssignedRange, now: number): void {
     const backoff = this.#backoffs.get(range);
     if (backoff !== undefined) backoff.blockedUntil = now + backoff.delay;
--- a/src/core/dispatch/request.ts
+++ b/src/core/dispatch/request.ts
@@ -9,16 +9,22 @@
 import type { ReportedLoad } from "../fleet/index.ts";
 import type { AssignedRange } from "../keyspace/index.ts";
 
-/** Maximum time for which a request waits for a server, as a share of the target latency.
- * After that, the caller is better off with a retry at another VM. */
+/**
+ * Maximum time for which a request waits for a server, as a share of the target latency.
+ * After that, the caller is better off with a retry at another VM.
+ */
 const WAIT_SHARE = 0.22;
-/** Maximum time for which a request waits while a transient condition blocks it, such as
+/**
+ * Maximum time for which a request waits while a transient condition blocks it, such as
  * a moving key, as a share of the target latency. A move takes as long as the running
  * work on the key, so a response within the target is still likely, while a refused
- * caller would retry too late to meet it. */
+ * caller would retry too late to meet it.
+ */
 const TRANSIENT_WAIT_SHARE = 0.6;
-/** Timeout of a request if neither its caller nor its route specifies one, in
- * milliseconds. */
+/**
+ * Timeout of a request if neither its caller nor its route specifies one, in
+ * milliseconds.
+ */
 const DEFAULT_TIMEOUT = 30_000;
 
 /** A request as its caller sent it, without its body, which stays in the HTTP server. */
@@ -30,13 +36,17 @@
   host: string;
   /** Path and query. */
   target: string;
-  /** Milliseconds for which the caller waits for a response, or null if it does not
-   * specify this. */
+  /**
+   * Milliseconds for which the caller waits for a response, or null if it does not
+   * specify this.
+   */
   timeout: number | null;
   /** Key of the request, or null if it has none. */
   key: number | null;
-  /** Identifies the content of the request. A retry by the caller has the same
-   * fingerprint, other requests have another one. */
+  /**
+   * Identifies the content of the request. A retry by the caller has the same
+   * fingerprint, other requests have another one.
+   */
   fingerprint: Fingerprint;
 }
 
@@ -46,8 +56,10 @@
   /** Id of the server. */
   server: string;
   startedAt: number;
-  /** The assigned range that contained the request's key at the start of the attempt;
-   * null without a key, or if no assignment was known. */
+  /**
+   * The assigned range that contained the request's key at the start of the attempt;
+   * null without a key, or if no assignment was known.
+   */
   range: AssignedRange | null;
   /** Time at which the request is hedged unless it has a response; Infinity for never. */
   hedgeAt: number;
@@ -75,27 +87,37 @@
   deadline: number;
   /** Time until which it may wait for a server. */
   waitEnd: number;
-  /** Time until which it may wait while a transient condition blocks it, such as a moving
-   * key. */
+  /**
+   * Time until which it may wait while a transient condition blocks it, such as a moving
+   * key.
+   */
   transientWaitEnd: number;
   /** Time at which its timers were last checked. */
   checkedAt: number;
-  /** Time at which the condition that it waits for ends by itself; Infinity if it does
-   * not. */
+  /**
+   * Time at which the condition that it waits for ends by itself; Infinity if it does
+   * not.
+   */
   checkAt: number;
   /** Refusals by the key's server, or null. */
   refusal: KeyRefusal | null;
-  /** A random number in [0, 1). If only a share of the requests for its key is admitted,
-   * the request is admitted if this number is below the share. */
+  /**
+   * A random number in [0, 1). If only a share of the requests for its key is admitted,
+   * the request is admitted if this number is below the share.
+   */
   chance: number;
-  /** Whether it was refused because its key is overloaded or a rate limit is reached.
-   * Such overload does not end within the target latency. */
+  /**
+   * Whether it was refused because its key is overloaded or a rate limit is reached.
+   * Such overload does not end within the target latency.
+   */
   isShed: boolean;
   /** Attempts in flight. */
   attempts: Attempt[];
-  /** Ids of servers to which it was sent, one entry for each attempt. A server that did
+  /**
+   * Ids of servers to which it was sent, one entry for each attempt. A server that did
    * not run the request is removed if it owns the key, so that it is tried again: no
-   * other server can run the request. */
+   * other server can run the request.
+   */
   tried: string[];
   /** Number of attempts that reached a server, or may have. */
   sentCount: number;
@@ -103,18 +125,24 @@
   mayHaveRun: boolean;
   /** Whether its deadline may already have passed, because the clock may be ahead. */
   isDeadlineUncertain: boolean;
-  /** Time before which it is not sent again, because its connection broke and the
-   * server's address is being probed. */
+  /**
+   * Time before which it is not sent again, because its connection broke and the
+   * server's address is being probed.
+   */
   retryNotBefore: number;
   /** Log lines that are written only if a notable event of the request follows. */
   deferredLines: LogLine[];
-  /** Whether a notable event has occurred, so that its further log lines are written at
-   * once. */
+  /**
+   * Whether a notable event has occurred, so that its further log lines are written at
+   * once.
+   */
   isLogged: boolean;
 }
 
-/** Creates the state of a request that has just arrived. `key` is null if the request has
- * none or its service is not keyed, and `chance` is a random number in [0, 1). */
+/**
+ * Creates the state of a request that has just arrived. `key` is null if the request has
+ * none or its service is not keyed, and `chance` is a random number in [0, 1).
+ */
 export function createPendingRequest(
   arrival: RequestArrival,
   route: Route,
@@ -168,8 +196,10 @@
     server: string | null;
     /** Load that the server reports, or null. */
     load: ReportedLoad | null;
-    /** Maximum requests per second that the server accepts from all VMs together; null if
-     * it reports no limit, undefined if it is unknown whether it does. */
+    /**
+     * Maximum requests per second that the server accepts from all VMs together; null if
+     * it reports no limit, undefined if it is unknown whether it does.
+     */
     rateLimit?: number | null;
   }
   | {
--- a/src/core/dispatch/request_log.ts
+++ b/src/core/dispatch/request_log.ts
@@ -15,8 +15,10 @@
     private readonly emit: (...lines: LogLine[]) => void,
   ) {}
 
-  /** Creates a log that adds the configuration's `version` to each line and passes the
-   * lines to `emit`. */
+  /**
+   * Creates a log that adds the configuration's `version` to each line and passes the
+   * lines to `emit`.
+   */
   static create(
     version: () => number,
     emit: (...lines: LogLine[]) => void,
--- a/src/core/dispatch/request_times.ts
+++ b/src/core/dispatch/request_times.ts
@@ -6,8 +6,10 @@
 import type { PendingRequest } from "./request.ts";
 import type { WaitPlan } from "./dispatch_planner.ts";
 
-/** Time after the deadline for which a response is still accepted, in milliseconds,
- * because a server stops its work at the deadline and then responds that it did. */
+/**
+ * Time after the deadline for which a response is still accepted, in milliseconds,
+ * because a server stops its work at the deadline and then responds that it did.
+ */
 export const DEADLINE_GRACE = 60;
 
 /** Time until which a request may wait for the end of the condition that blocks it. */
@@ -19,8 +21,10 @@
   return isTransient ? Math.max(waitEnd, transientWaitEnd) : waitEnd;
 }
 
-/** Time at which the next timer of a request expires: the end of its wait if it has no
- * attempt in flight, otherwise its deadline or the start of a hedge. */
+/**
+ * Time at which the next timer of a request expires: the end of its wait if it has no
+ * attempt in flight, otherwise its deadline or the start of a hedge.
+ */
 export function nextCheckAt(request: PendingRequest): number {
   if (request.attempts.length === 0) {
     const { checkAt, waitEnd, transientWaitEnd, deadline, checkedAt } = request;
--- a/src/core/dispatch/retry_after_policy.ts
+++ b/src/core/dispatch/retry_after_policy.ts
@@ -20,29 +20,41 @@
 import type { DispatchContext } from "./dispatch_context.ts";
 import type { PendingRequest } from "./request.ts";
 
-/** Delay for a caller whose response cannot meet the target, as a share of its remaining
- * time. Callers honour a delay of at most a third of their remaining time. */
+/**
+ * Delay for a caller whose response cannot meet the target, as a share of its remaining
+ * time. Callers honour a delay of at most a third of their remaining time.
+ */
 const LATE_RETRY_SHARE = 0.3;
-/** Delay for a caller whose response can meet the target, as a share of the slack: the
+/**
+ * Delay for a caller whose response can meet the target, as a share of the slack: the
  * time that is left within the target latency, less the mean latency of the service. The
- * rest of the slack is left for the network and for queueing. */
+ * rest of the slack is left for the network and for queueing.
+ */
 const EARLY_RETRY_SHARE = 0.5;
-/** Minimum slack for a short delay, as a share of the target latency. With less the
- * response would be late anyway. */
+/**
+ * Minimum slack for a short delay, as a share of the target latency. With less the
+ * response would be late anyway.
+ */
 const MINIMUM_SLACK_SHARE = 0.1;
-/** A request counts as the first attempt of its caller if its timeout is shorter than the
- * longest timeout of its route by at most this share of the longest. */
+/**
+ * A request counts as the first attempt of its caller if its timeout is shorter than the
+ * longest timeout of its route by at most this share of the longest.
+ */
 const FIRST_ATTEMPT_TOLERANCE = 0.05;
-/** Maximum random reduction of a delay, as a share of it, so that callers that were
- * refused together do not retry together. */
+/**
+ * Maximum random reduction of a delay, as a share of it, so that callers that were
+ * refused together do not retry together.
+ */
 const JITTER = 0.3;
 /** Minimum delay, in milliseconds. */
 const MINIMUM_DELAY = 20;
 
 /** See the module's comment. */
 export class RetryAfterPolicy {
-  /** Longest timeout that callers of each route have sent, in milliseconds. It is the
-   * timeout of first attempts, since retries have less time left. */
+  /**
+   * Longest timeout that callers of each route have sent, in milliseconds. It is the
+   * timeout of first attempts, since retries have less time left.
+   */
   readonly #longestTimeouts = new Map<string, number>();
 
   private constructor(private readonly context: DispatchContext) {}
@@ -70,8 +82,10 @@
     return Math.max(MINIMUM_DELAY, delay * jitter);
   }
 
-  /** Delay with which a response can meet the target latency, in milliseconds; null if
-   * none can. */
+  /**
+   * Delay with which a response can meet the target latency, in milliseconds; null if
+   * none can.
+   */
   #earlyDelay(
     { arrivedAt, service, route }: PendingRequest,
     now: number,
--- a/src/core/dispatch/retry_budget.ts
+++ b/src/core/dispatch/retry_budget.ts
@@ -12,24 +12,32 @@
   ratio: z.number().nonnegative().default(0.1),
   /** Length of the window in seconds. */
   windowSeconds: z.number().positive().default(10),
-  /** Retries that are permitted in a window in addition, whatever the number of
-   * requests. */
+  /**
+   * Retries that are permitted in a window in addition, whatever the number of
+   * requests.
+   */
   minimum: z.number().nonnegative().default(10),
 });
 
 /** See {@linkcode retryLimitsSchema}. */
 export type RetryLimits = z.infer<typeof retryLimitsSchema>;
 
-/** Number of buckets into which a window is divided. Requests and retries are counted per
- * bucket, so the sums over the sliding window are accurate to one bucket. */
+/**
+ * Number of buckets into which a window is divided. Requests and retries are counted per
+ * bucket, so the sums over the sliding window are accurate to one bucket.
+ */
 const BUCKETS = 20;
-/** Share of the budget that is used. The rest is a margin, because VMs count requests at
- * slightly different times and the number of VMs is an estimate. */
+/**
+ * Share of the budget that is used. The rest is a margin, because VMs count requests at
+ * slightly different times and the number of VMs is an estimate.
+ */
 const SAFETY_FACTOR = 0.75;
-/** Share of its minimum that a VM may use in its first window, in proportion to the time
+/**
+ * Share of its minimum that a VM may use in its first window, in proportion to the time
  * since its start. A restarted VM has lost the count of its earlier retries, which still
  * count against the budget. This share and {@linkcode SAFETY_FACTOR} add up to 1,
- * so that a VM stays within its minimum however often it restarts. */
+ * so that a VM stays within its minimum however often it restarts.
+ */
 const INITIAL_SHARE = 1 - SAFETY_FACTOR;
 
 const MILLISECONDS_PER_SECOND = 1_000;
--- a/src/core/dispatch/retry_budget_test.ts
+++ b/src/core/dispatch/retry_budget_test.ts
@@ -49,8 +49,10 @@
   retries: number[];
 }
 
-/** Number of retries beyond the budget in the window in which it is highest, among all
- * windows that end with a retry; at most 0 if all VMs together stay within the budget. */
+/**
+ * Number of retries beyond the budget in the window in which it is highest, among all
+ * windows that end with a retry; at most 0 if all VMs together stay within the budget.
+ */
 function excess({ requests, retries }: Simulation): number {
   const countInWindow = (times: number[], end: number) =>
     times.filter((time) => time > end - 10_000 && time <= end).length;
--- a/src/core/dispatch/retry_policy.ts
+++ b/src/core/dispatch/retry_policy.ts
@@ -8,16 +8,22 @@
 import type { PendingRequest } from "./request.ts";
 import { RetryBudget } from "./retry_budget.ts";
 
-/** A request is hedged after this multiple of the mean latency of its service, or after
- * {@linkcode HEDGE_TARGET_SHARE} of its target latency if that is longer. */
+/**
+ * A request is hedged after this multiple of the mean latency of its service, or after
+ * {@linkcode HEDGE_TARGET_SHARE} of its target latency if that is longer.
+ */
 const HEDGE_LATENCY_FACTOR = 3;
 /** Share of the route's target latency during which a request is not hedged. */
 const HEDGE_TARGET_SHARE = 0.5;
-/** Number of servers that crashed while they ran a request, from which on the request is
- * no longer retried. */
+/**
+ * Number of servers that crashed while they ran a request, from which on the request is
+ * no longer retried.
+ */
 const CRASHES_TO_STOP_RETRIES = 2;
-/** Number of VMs that are assumed to share the retry budget while their number is
- * unknown. It is high, because too few retries are safer than too many. */
+/**
+ * Number of VMs that are assumed to share the retry budget while their number is
+ * unknown. It is high, because too few retries are safer than too many.
+ */
 const ASSUMED_VM_COUNT = 64;
 
 /** See the module's comment. */
--- a/src/core/dispatch/server_choice.ts
+++ b/src/core/dispatch/server_choice.ts
@@ -8,35 +8,51 @@
 import type { RateTokens } from "../rates/index.ts";
 import type { ColdAdmission } from "./cold_admission.ts";
 
-/** Maximum number of requests of all VMs at a server, per slot of the server. One runs
+/**
+ * Maximum number of requests of all VMs at a server, per slot of the server. One runs
  * and one waits, so that no slot is idle between requests and the server's own queue
- * never fills. */
+ * never fills.
+ */
 const REQUESTS_PER_SLOT = 2;
-/** Maximum number of requests of this VM at a server whose load is unknown, in multiples
+/**
+ * Maximum number of requests of this VM at a server whose load is unknown, in multiples
  * of the VM's equal share of the slots. It exceeds 1, since callers are spread unevenly
- * over the VMs. If the server has just reported its load, this VM may fill all slots. */
+ * over the VMs. If the server has just reported its load, this VM may fill all slots.
+ */
 const LOCAL_SHARE_FACTOR = 4;
-/** Share of all slots of a server that this VM may fill while the load of the server is
+/**
+ * Share of all slots of a server that this VM may fill while the load of the server is
  * unknown, unless the server has just refused a request. With 91 VMs, most receive a
  * server's load too rarely to know it. If each sent only one request, a server whose keys
- * have many requests would be idle while VMs refuse callers of these keys. */
+ * have many requests would be idle while VMs refuse callers of these keys.
+ */
 const UNKNOWN_LOAD_SHARE = 0.5;
-/** Time for which a refusal counts as recent, in milliseconds: about the duration of the
- * work that filled the server. */
+/**
+ * Time for which a refusal counts as recent, in milliseconds: about the duration of the
+ * work that filled the server.
+ */
 const RECENT_REFUSAL_TIME = 500;
 /** Maximum number of servers that one selection considers. */
 const SAMPLE_SIZE = 24;
-/** Number of VMs that are assumed to share the servers while the actual number is
- * unknown. */
+/**
+ * Number of VMs that are assumed to share the servers while the actual number is
+ * unknown.
+ */
 const ASSUMED_VM_COUNT = 8;
-/** Cost factor of a server in another availability zone: traffic between zones is billed
- * and has a higher latency. */
+/**
+ * Cost factor of a server in another availability zone: traffic between zones is billed
+ * and has a higher latency.
+ */
 const REMOTE_ZONE_FACTOR = 1.7;
-/** Cost factor of a cold or rate-limited server that may receive a request now. Its
- * permitted requests are few, and the server is idle for each one that is not used. */
+/**
+ * Cost factor of a cold or rate-limited server that may receive a request now. Its
+ * permitted requests are few, and the server is idle for each one that is not used.
+ */
 const RESTRICTED_FACTOR = 0.5;
-/** Maximum random increase of a cost, as a share of it, so that VMs do not all select the
- * same server. */
+/**
+ * Maximum random increase of a cost, as a share of it, so that VMs do not all select the
+ * same server.
+ */
 const JITTER = 0.2;
 
 /** Inputs of a server selection. */
@@ -122,8 +138,10 @@
   return best;
 }
 
-/** Requests a token for one of the rate-limited servers. A token that is granted too late
- * for this request is available to a later one. */
+/**
+ * Requests a token for one of the rate-limited servers. A token that is granted too late
+ * for this request is available to a later one.
+ */
 function requestToken(
   servers: readonly TrackedServer[],
   now: number,
@@ -133,8 +151,10 @@
   if (next !== undefined) tokens.check(next, isUrgent, now);
 }
 
-/** Takes up to {@linkcode SAMPLE_SIZE} consecutive servers from a random position. A
- * sample is nearly as good as all servers, at a cost independent of their number. */
+/**
+ * Takes up to {@linkcode SAMPLE_SIZE} consecutive servers from a random position. A
+ * sample is nearly as good as all servers, at a cost independent of their number.
+ */
 function sample(
   servers: readonly TrackedServer[],
   draw: () => number,
--- a/src/core/dispatch/server_choice_test.ts
+++ b/src/core/dispatch/server_choice_test.ts
@@ -3,8 +3,10 @@
 import { type ReportedLoad, TrackedServer } from "../fleet/index.ts";
 import { hasCapacity } from "./server_choice.ts";
 
-/** Number of requests that one of eight VMs may send at `now` to a server with 3 slots,
- * after a response at 100 ms that reported `load`. */
+/**
+ * Number of requests that one of eight VMs may send at `now` to a server with 3 slots,
+ * after a response at 100 ms that reported `load`.
+ */
 function capacity(load: ReportedLoad | null, now: number): number {
   const server = TrackedServer.create(backendServer("i", { address: "h:1" }));
   server.started(0, 0);
--- a/src/core/entry.ts
+++ b/src/core/entry.ts
@@ -24,11 +24,15 @@
 import { Shutdown } from "./shutdown.ts";
 import { StoreHealth } from "./store_health.ts";
 
-/** Maximum time between two steps while this VM holds the term or has been elected, in
- * milliseconds. */
+/**
+ * Maximum time between two steps while this VM holds the term or has been elected, in
+ * milliseconds.
+ */
 const HOLDER_INTERVAL = 50;
-/** The same on a term holder that has deferred orders to its next step, in milliseconds.
- * The orders of the current step are sent before that. */
+/**
+ * The same on a term holder that has deferred orders to its next step, in milliseconds.
+ * The orders of the current step are sent before that.
+ */
 const ORDER_INTERVAL = 1;
 /** Maximum time between two steps of a follower, in milliseconds. */
 const IDLE_INTERVAL = 250;
@@ -298,8 +302,10 @@
     return this.campaign.holder === null ? maximumAge : interval;
   }
 
-  /** Advances the election and the term, and writes the quarantine record if this VM
-   * holds the term. */
+  /**
+   * Advances the election and the term, and writes the quarantine record if this VM
+   * holds the term.
+   */
   #advanceCampaign(
     services: readonly string[],
     now: number,
@@ -327,10 +333,12 @@
     if (from !== to) this.clusterState.logDecision("term.phase", { from, to });
   }
 
-  /** Stops following the store's feeds while the term holder sends this VM all updates,
+  /**
+   * Stops following the store's feeds while the term holder sends this VM all updates,
    * and resumes afterwards. With 195 VMs, most of them observers, and little traffic, the
    * long polls of the feeds and the updates that they return make up about half of all
-   * calls to the store. */
+   * calls to the store.
+   */
   #updateFeeds(now: number): void {
     const isFollowing = !this.peers.hasHolderUpdates(now);
     if (isFollowing === this.#isFollowingFeeds) return;
@@ -354,11 +362,13 @@
     fleet.confirmPeerEntries((id) => registry.isListed(id), now);
   }
 
-  /** Handles a forward jump of the clock by `gap` milliseconds. If this VM was suspended,
+  /**
+   * Handles a forward jump of the clock by `gap` milliseconds. If this VM was suspended,
    * messages sent to it meanwhile may be lost, so its next report is urgent. If
    * it is not certain that it was suspended, only the time of day may have been set, and
    * leases of others that have expired by this VM's clock may still be valid. This VM
-   * then drops all state from which it would conclude that they have expired. */
+   * then drops all state from which it would conclude that they have expired.
+   */
   #clockJumped(gap: number, isCertain: boolean): void {
     const detail = { gap: Math.round(gap), isCertain };
     this.clusterState.logDecision("clock.jumped", detail);
@@ -368,8 +378,10 @@
     this.dispatcher.extendDeadlines(gap);
   }
 
-  /** Handles the result of claiming a term. A new holder requests the previous holder's
-   * grants. */
+  /**
+   * Handles the result of claiming a term. A new holder requests the previous holder's
+   * grants.
+   */
   #termClaimed(effects: KeyspaceEffect[]): void {
     this.#emit(...effects);
     for (const effect of effects) {
@@ -415,8 +427,10 @@
     this.#emit({ kind: "readiness.set", isReady });
   }
 
-  /** Ends all pending requests shortly before the end of a shutdown, so that their
-   * responses, and those queued behind them, are sent before the connections close. */
+  /**
+   * Ends all pending requests shortly before the end of a shutdown, so that their
+   * responses, and those queued behind them, are sent before the connections close.
+   */
   #endPendingRequests(now: number): void {
     const reason = "this VM is stopping";
     this.#emit(...this.dispatcher.endQueuedRequests(reason, now));
--- a/src/core/entry_event.ts
+++ b/src/core/entry_event.ts
@@ -25,8 +25,10 @@
 export type UntimedEvent =
   /** The timer that the core requested has expired. */
   | { kind: "timer" }
-  /** The clock has jumped by `gap` milliseconds. If `isCertain`, the machine was
-   * suspended for that long; otherwise its time of day may only have been set. */
+  /**
+   * The clock has jumped by `gap` milliseconds. If `isCertain`, the machine was
+   * suspended for that long; otherwise its time of day may only have been set.
+   */
   | { kind: "clock.jumped"; gap: number; isCertain: boolean }
   /** The configuration was read from the store. */
   | { kind: "configuration.read"; configuration: Configuration }
@@ -34,8 +36,10 @@
   | { kind: "evacuations.read"; read: EvacuationRead }
   /** The store answered a read of the registry that was sent at `sentAt`. */
   | { kind: "servers.read"; read: RegistryRead; sentAt: number }
-  /** A read of the registry failed; with `isExpired`, the store no longer retains the
-   * records at the position that was read. */
+  /**
+   * A read of the registry failed; with `isExpired`, the store no longer retains the
+   * records at the position that was read.
+   */
   | { kind: "servers.failed"; isExpired: boolean }
   /** Key assignments were read from the store. */
   | { kind: "assignments.read"; assignments: Assignment[] }
@@ -57,8 +61,10 @@
   | { kind: "group.joined"; membership: Membership }
   /** A membership call failed. */
   | { kind: "group.failed" }
-  /** An elected VM has read the records of the last term from the store; null if the
-   * read failed or the last term is unknown. */
+  /**
+   * An elected VM has read the records of the last term from the store; null if the
+   * read failed or the last term is unknown.
+   */
   | { kind: "term.read"; records: TermRecords | null }
   /** The write that claims a term has ended. */
   | { kind: "term.claimed"; term: number; outcome: WriteOutcome }
@@ -73,13 +79,17 @@
   | { kind: "request.left"; exchange: number }
   /** After `callers.close`: all responses have been sent and no request can arrive. */
   | { kind: "callers.closed" }
-  /** A probe of a server's address has ended; `isRefused` if the connection was
-   * refused. */
+  /**
+   * A probe of a server's address has ended; `isRefused` if the connection was
+   * refused.
+   */
   | { kind: "server.checked"; server: string; isRefused: boolean }
   /** An attempt to have a server run a request has ended. */
   | { kind: "attempt.ended"; attempt: number; outcome: AttemptOutcome }
-  /** A shutdown was requested `lateness` milliseconds before the process handled the
-   * request. */
+  /**
+   * A shutdown was requested `lateness` milliseconds before the process handled the
+   * request.
+   */
   | { kind: "shutdown"; lateness: number };
 
 /** See the module's comment. */
--- a/src/core/entry_options.ts
+++ b/src/core/entry_options.ts
@@ -8,8 +8,10 @@
 
 /** Times of a shutdown, in milliseconds after it was requested. */
 export interface ShutdownTiming {
-  /** Until then, new connections of callers are accepted: the load balancer routes to
-   * other VMs only after two failed readiness checks, one second apart. */
+  /**
+   * Until then, new connections of callers are accepted: the load balancer routes to
+   * other VMs only after two failed readiness checks, one second apart.
+   */
   closeAfter: number;
   /** Time limit, at which the process stops even with requests in flight. */
   stopAfter: number;
@@ -19,9 +21,11 @@
 export interface RegistryTiming {
   /** Interval between two reads by the term holder. */
   interval: number;
-  /** Age at which any other VM reads the registry itself because the term holder's updates
+  /**
+   * Age at which any other VM reads the registry itself because the term holder's updates
    * are missing. It must exceed the holder's interval plus the time that a follower's
-   * report and its answer take. */
+   * report and its answer take.
+   */
   maximumAge: number;
 }
 
--- a/src/core/entry_test.ts
+++ b/src/core/entry_test.ts
@@ -14,8 +14,10 @@
   };
 }
 
-/** Returns the event of an answer from a term holder with the given configuration
- * version. */
+/**
+ * Returns the event of an answer from a term holder with the given configuration
+ * version.
+ */
 function holderAlive(configuration: number): UntimedEvent {
   return {
     kind: "peer.received",
--- a/src/core/exchange/configuration_watch.ts
+++ b/src/core/exchange/configuration_watch.ts
@@ -7,12 +7,16 @@
  */
 import type { ClusterState, Emit } from "../cluster_state.ts";
 
-/** Time in which a newer configuration may still arrive through the long poll or from
- * the term holder before it is fetched, in milliseconds. */
+/**
+ * Time in which a newer configuration may still arrive through the long poll or from
+ * the term holder before it is fetched, in milliseconds.
+ */
 const GRACE_PERIOD = 600;
-/** The same for a VM that receives store updates from the term holder instead of the
+/**
+ * The same for a VM that receives store updates from the term holder instead of the
  * store. They arrive with the answer to its next report, which can take up to 750 ms
- * on an otherwise idle VM. */
+ * on an otherwise idle VM.
+ */
 const HOLDER_UPDATE_GRACE_PERIOD = 1_000;
 /** Minimum time between two fetches, in milliseconds. */
 const FETCH_INTERVAL = 400;
@@ -33,9 +37,11 @@
     return new ConfigurationWatch(clusterState, emit);
   }
 
-  /** Compares the configuration version of another VM with this VM's and fetches the
+  /**
+   * Compares the configuration version of another VM with this VM's and fetches the
    * configuration if this VM's has been older for too long. `hasHolderUpdates` is true
-   * while this VM receives store updates from the term holder. */
+   * while this VM receives store updates from the term holder.
+   */
   compare(peerVersion: number, hasHolderUpdates: boolean, now: number): void {
     const { version } = this.clusterState.catalog;
     if (peerVersion <= version) {
--- a/src/core/exchange/overload_monitor.ts
+++ b/src/core/exchange/overload_monitor.ts
@@ -15,12 +15,16 @@
 } from "../keyspace/index.ts";
 import { MAXIMUM_RATES, type OverloadState } from "../peers/index.ts";
 
-/** Time between two checks, in milliseconds: half of the time between two reports of a
- * follower. */
+/**
+ * Time between two checks, in milliseconds: half of the time between two reports of a
+ * follower.
+ */
 const CHECK_INTERVAL = 250;
-/** Number of requests from which a server's load is published, in multiples of its
+/**
+ * Number of requests from which a server's load is published, in multiples of its
  * slots. A server with fewer requests has free slots by the time other VMs receive its
- * load. */
+ * load.
+ */
 const LOAD_THRESHOLD = 2;
 /** Maximum number of server loads in one answer; bounds its size. */
 const MAXIMUM_LOADS = 64;
@@ -45,8 +49,10 @@
     return this.#current;
   }
 
-  /** Repeats the check if it is due, and applies the resulting limits on this VM. The
-   * followers receive them with the holder's answers. */
+  /**
+   * Repeats the check if it is due, and applies the resulting limits on this VM. The
+   * followers receive them with the holder's answers.
+   */
   advance(holder: TermHolder, now: number): void {
     if (now - this.#checkedAt < CHECK_INTERVAL) return;
     this.#checkedAt = now;
--- a/src/core/exchange/peer_exchange.ts
+++ b/src/core/exchange/peer_exchange.ts
@@ -33,9 +33,11 @@
 } from "./quarantine_exchange.ts";
 import { StatePublisher } from "./state_publisher.ts";
 
-/** Time between two calls of {@linkcode PeerExchange.advance} after which this process
+/**
+ * Time between two calls of {@linkcode PeerExchange.advance} after which this process
  * is assumed to have been suspended, in milliseconds. Timers call it four times as
- * often. */
+ * often.
+ */
 const SUSPENSION_THRESHOLD = 1_000;
 
 /** See the module's comment. Times are milliseconds of this VM's clock. */
@@ -91,9 +93,11 @@
     );
   }
 
-  /** Creates an exchange for the process at `ownAddress` that has received no messages.
+  /**
+   * Creates an exchange for the process at `ownAddress` that has received no messages.
    * `seeds` are addresses of VMs to contact if the term holder is unknown or does not
-   * answer. `draw` returns a random number in [0, 1). */
+   * answer. `draw` returns a random number in [0, 1).
+   */
   static create(
     clusterState: ClusterState,
     campaign: TermCampaign,
@@ -121,9 +125,11 @@
     return this.#vmCount.value;
   }
 
-  /** Whether this VM receives store updates from the term holder instead of calling the
+  /**
+   * Whether this VM receives store updates from the term holder instead of calling the
    * store. Only observers do: unlike candidates, they need nothing else from the
-   * store. */
+   * store.
+   */
   hasHolderUpdates(now: number): boolean {
     return this.campaign.isObserver &&
       this.followerLink.isStoreStateCurrent(now);
@@ -135,22 +141,28 @@
     this.followerLink.sampleKey(service, key);
   }
 
-  /** Handles a server's refusal of a request for a key that, to this VM's knowledge, is
+  /**
+   * Handles a server's refusal of a request for a key that, to this VM's knowledge, is
    * assigned to the server. This VM may have missed a change, so its next report is
-   * urgent. */
+   * urgent.
+   */
   keyRefused(): void {
     this.followerLink.expedite();
   }
 
-  /** Handles the start or end of a rate limit that a server reported to this VM. The next
-   * report to the term holder is urgent, so that the other VMs receive the change. */
+  /**
+   * Handles the start or end of a rate limit that a server reported to this VM. The next
+   * report to the term holder is urgent, so that the other VMs receive the change.
+   */
   rateLimitChanged(change: ServerRateLimitChange, now: number): void {
     this.clusterState.logRateLimitChange(change, now);
     this.followerLink.expedite();
   }
 
-  /** Time by which {@linkcode advance} must be called for an urgent or a first report;
-   * Infinity if there is none. */
+  /**
+   * Time by which {@linkcode advance} must be called for an urgent or a first report;
+   * Infinity if there is none.
+   */
   nextAt(): number {
     return this.campaign.holder === null
       ? this.followerLink.nextAt()
@@ -238,9 +250,11 @@
     }
   }
 
-  /** Handles assignments read from the store. If they are newer than those known here and
+  /**
+   * Handles assignments read from the store. If they are newer than those known here and
    * of the holder's term, the holder still runs, even if it is too busy to answer
-   * reports. */
+   * reports.
+   */
   assignmentsRead(assignments: readonly Assignment[], now: number): void {
     const { holder, directory } = this.clusterState;
     const { term, version } = directory.position;
@@ -308,8 +322,10 @@
     );
   }
 
-  /** State to include in a report to the holder. If a report is due, the state contains a
-   * quarantine update. */
+  /**
+   * State to include in a report to the holder. If a report is due, the state contains a
+   * quarantine update.
+   */
   #reportState(now: number): SenderState {
     const state = this.clusterState.senderState();
     const { holder } = this.followerLink;
@@ -328,15 +344,19 @@
     if (this.#quarantine.isUrgent(this.vms, now)) this.followerLink.expedite();
   }
 
-  /** Time since the last message from the term holder, in milliseconds; 0 if this VM is
-   * the announced holder. */
+  /**
+   * Time since the last message from the term holder, in milliseconds; 0 if this VM is
+   * the announced holder.
+   */
   #holderSilence(now: number): number {
     const isOwn = this.clusterState.holder?.address === this.ownAddress;
     return isOwn ? 0 : this.followerLink.silence(now);
   }
 
-  /** Sends a quarantine update. Any message can include one. This kind is used because
-   * older versions accept it: the rest of it only repeats the known term holder. */
+  /**
+   * Sends a quarantine update. Any message can include one. This kind is used because
+   * older versions accept it: the rest of it only repeats the known term holder.
+   */
   #sendQuarantine({ address, update }: QuarantineSend): void {
     const { holder } = this.clusterState;
     if (holder === null) return;
@@ -348,8 +368,10 @@
     });
   }
 
-  /** If a report is due, returns the latencies of keyed services' servers to include in
-   * it. */
+  /**
+   * If a report is due, returns the latencies of keyed services' servers to include in
+   * it.
+   */
   #takeLatencies(now: number): ServerSamples[] {
     const { catalog, fleet } = this.clusterState;
     if (!this.followerLink.isReportDue(now)) return [];
@@ -447,9 +469,11 @@
     });
   }
 
-  /** Handles a message that shows that the last term holder, which has lost its authority,
+  /**
+   * Handles a message that shows that the last term holder, which has lost its authority,
    * still runs. It is ignored if this VM can reach the store: a holder that alone cannot
-   * reach it must not keep other VMs from being elected. */
+   * reach it must not keep other VMs from being elected.
+   */
   #applyLiveness({ fitness }: HolderAddress, now: number): void {
     if (this.store.isLost) this.campaign.observeFitness(fitness, now);
   }
--- a/src/core/exchange/permit_exchange.ts
+++ b/src/core/exchange/permit_exchange.ts
@@ -48,8 +48,10 @@
     return new PermitExchange(clusterState, emit, ownAddress);
   }
 
-  /** Uses the VM at address `holder` as the term holder from now on. If it is this VM, it
-   * issues permits. */
+  /**
+   * Uses the VM at address `holder` as the term holder from now on. If it is this VM, it
+   * issues permits.
+   */
   follow(holder: string, now: number): void {
     if (holder === this.ownAddress) this.#issuer.activate(now);
     else this.#issuer.deactivate();
--- a/src/core/exchange/quarantine_exchange.ts
+++ b/src/core/exchange/quarantine_exchange.ts
@@ -18,29 +18,43 @@
 import type { CrashRecord, Quarantine } from "../quarantine/index.ts";
 import type { QuarantineUpdate } from "../peers/index.ts";
 
-/** Time without a digest from a VM after which no more updates are sent to it, in
- * milliseconds. Several of its reports are missing by then. */
+/**
+ * Time without a digest from a VM after which no more updates are sent to it, in
+ * milliseconds. Several of its reports are missing by then.
+ */
 const PEER_TIMEOUT = 3_000;
-/** Minimum time between two answers to the same VM, in milliseconds. The records of the
- * first answer may still be in transit. */
+/**
+ * Minimum time between two answers to the same VM, in milliseconds. The records of the
+ * first answer may still be in transit.
+ */
 const ANSWER_INTERVAL = 400;
-/** Minimum time between two updates of a VM to the seeds while they take the holder's
- * place, in milliseconds. */
+/**
+ * Minimum time between two updates of a VM to the seeds while they take the holder's
+ * place, in milliseconds.
+ */
 const SEED_INTERVAL = 500;
-/** The same, in milliseconds per VM in the deployment, so that a seed receives at most
- * 200 updates per second. The larger of the two times applies. */
+/**
+ * The same, in milliseconds per VM in the deployment, so that a seed receives at most
+ * 200 updates per second. The larger of the two times applies.
+ */
 const SEED_INTERVAL_PER_VM = 5;
-/** Minimum time between a report and an urgent one, in milliseconds per VM in the
+/**
+ * Minimum time between a report and an urgent one, in milliseconds per VM in the
  * deployment, so that the holder receives at most 100 urgent reports per second. Many
- * VMs detect the same server crash. */
+ * VMs detect the same server crash.
+ */
 const URGENT_INTERVAL_PER_VM = 10;
-/** Time without a message from the holder after which the seeds take its place, in
- * milliseconds. Two answers are missing by then. */
+/**
+ * Time without a message from the holder after which the seeds take its place, in
+ * milliseconds. Two answers are missing by then.
+ */
 const HOLDER_TIMEOUT = 1_200;
-/** Minimum time between two updates on requests that have crashed only one server, in
+/**
+ * Minimum time between two updates on requests that have crashed only one server, in
  * milliseconds per receiving VM, so that simultaneous crashes of many servers cause few
  * messages. A copy of such a request that arrives at another VM within this time can
- * crash one more server. */
+ * crash one more server.
+ */
 const SINGLE_CRASH_INTERVAL_PER_VM = 2;
 /** Maximum number of reports that wait for an answer; older ones count as lost. */
 const MAXIMUM_PENDING = 8;
@@ -51,8 +65,10 @@
   update: QuarantineUpdate;
 }
 
-/** A report that has not been answered. `revision` is that of the local records at the
- * time it was sent. */
+/**
+ * A report that has not been answered. `revision` is that of the local records at the
+ * time it was sent.
+ */
 interface PendingReport {
   sentAt: number;
   revision: number;
@@ -91,9 +107,11 @@
     return new QuarantineExchange(quarantine, seeds);
   }
 
-  /** Whether there are records that the holder lacks and that should not wait for the
+  /**
+   * Whether there are records that the holder lacks and that should not wait for the
    * next regular report. `vmCount` is the number of VMs that send reports to the
-   * holder. */
+   * holder.
+   */
   isUrgent(vmCount: number | null, now: number): boolean {
     const last = this.#pending.at(-1);
     const sentRevision = last?.revision ?? this.#holderRevision;
@@ -103,14 +121,18 @@
     return now - this.#reportedAt >= URGENT_INTERVAL_PER_VM * (vmCount ?? 0);
   }
 
-  /** An update with the digest only. A receiver whose digest differs answers with its
-   * records. */
+  /**
+   * An update with the digest only. A receiver whose digest differs answers with its
+   * records.
+   */
   get digestUpdate(): QuarantineUpdate {
     return { digest: this.quarantine.digest, records: [] };
   }
 
-  /** Returns the update to include in a report that is sent now to the holder at address
-   * `holder`. */
+  /**
+   * Returns the update to include in a report that is sent now to the holder at address
+   * `holder`.
+   */
   report(holder: string, now: number): QuarantineUpdate {
     this.#follow(holder);
     const { revision } = this.quarantine;
@@ -120,8 +142,10 @@
     return this.#createUpdate(this.#holderRevision, now, holder);
   }
 
-  /** Records that the holder at address `holder` answered the report sent at
-   * `sentAt`. */
+  /**
+   * Records that the holder at address `holder` answered the report sent at
+   * `sentAt`.
+   */
   reportAnswered(holder: string, sentAt: number): void {
     if (holder !== this.#holder) return;
     const index = this.#pending.findLastIndex((each) => each.sentAt <= sentAt);
@@ -131,8 +155,10 @@
     this.#pending = this.#pending.slice(index + 1);
   }
 
-  /** Merges the update of the VM at `address`. Returns the answer, or null if none is
-   * needed. */
+  /**
+   * Merges the update of the VM at `address`. Returns the answer, or null if none is
+   * needed.
+   */
   receive(
     address: string,
     { digest, records }: QuarantineUpdate,
@@ -155,9 +181,11 @@
     return update.records.length === 0 ? null : { address, update };
   }
 
-  /** Returns the updates that are due: to peers and, while they take the holder's place,
+  /**
+   * Returns the updates that are due: to peers and, while they take the holder's place,
    * to the seeds. `silence` is the time since the holder's last message in milliseconds,
-   * `vmCount` the estimated number of VMs or null. */
+   * `vmCount` the estimated number of VMs or null.
+   */
   advance(
     silence: number,
     vmCount: number | null,
@@ -204,8 +232,10 @@
     this.#pending = [];
   }
 
-  /** Returns the digest and the records that changed after revision `since`. Those that
-   * the VM at `address` is known to have are left out. */
+  /**
+   * Returns the digest and the records that changed after revision `since`. Those that
+   * the VM at `address` is known to have are left out.
+   */
   #createUpdate(
     since: number,
     now: number,
--- a/src/core/exchange/quarantine_record.ts
+++ b/src/core/exchange/quarantine_record.ts
@@ -13,8 +13,10 @@
 /** Delay before a failed write is retried, in milliseconds. */
 const RETRY_DELAY = 1_000;
 
-/** Effect that writes crash records to the store. Its result is the event
- * `quarantine.written`. */
+/**
+ * Effect that writes crash records to the store. Its result is the event
+ * `quarantine.written`.
+ */
 export interface QuarantineWrite {
   kind: "quarantine.write";
   records: CrashRecord[];
--- a/src/core/exchange/quarantine_record_test.ts
+++ b/src/core/exchange/quarantine_record_test.ts
@@ -4,12 +4,16 @@
 import { QuarantineRecord } from "./quarantine_record.ts";
 
 const REQUEST = fingerprintOf("/crash");
-/** When a request that crashed three servers at time 0 is quarantined, in
- * milliseconds. */
+/**
+ * When a request that crashed three servers at time 0 is quarantined, in
+ * milliseconds.
+ */
 const QUARANTINED_AT = 1_000;
 
-/** Creates a record of an empty quarantine. `quarantineRequest` records three crashes of
- * a request. */
+/**
+ * Creates a record of an empty quarantine. `quarantineRequest` records three crashes of
+ * a request.
+ */
 function createRecord() {
   const quarantine = Quarantine.create();
   const record = QuarantineRecord.create(quarantine);
--- a/src/core/exchange/state_exchange.ts
+++ b/src/core/exchange/state_exchange.ts
@@ -26,8 +26,10 @@
     this.#request = StateRequest.create(seeds);
   }
 
-  /** Creates an exchange that sends requests to the term holder and, until a
-   * configuration is known, to the VMs at `seeds`. */
+  /**
+   * Creates an exchange that sends requests to the term holder and, until a
+   * configuration is known, to the VMs at `seeds`.
+   */
   static create(
     clusterState: ClusterState,
     store: StoreHealth,
@@ -37,8 +39,10 @@
     return new StateExchange(clusterState, store, emit, seeds);
   }
 
-  /** Sends the requests that are due. They include `quarantineUpdate`. `holder` is the
-   * address of the term holder, or null. */
+  /**
+   * Sends the requests that are due. They include `quarantineUpdate`. `holder` is the
+   * address of the term holder, or null.
+   */
   advance(
     quarantineUpdate: QuarantineUpdate,
     holder: string | null,
@@ -55,8 +59,10 @@
     this.emit(...requests);
   }
 
-  /** Sends this VM's state to a VM that requested it. Parts that the requester already
-   * has are left out if it accepts partial state. */
+  /**
+   * Sends this VM's state to a VM that requested it. Parts that the requester already
+   * has are left out if it accepts partial state.
+   */
   sendState(address: string, request: MessageOf<"state.wanted">): void {
     const { catalog, fleet, directory, holder } = this.clusterState;
     const { configuration } = catalog;
@@ -83,9 +89,11 @@
     });
   }
 
-  /** Applies another VM's state if the store is unreachable or no configuration is known.
+  /**
+   * Applies another VM's state if the store is unreachable or no configuration is known.
    * Returns the term holder that the state names, or null if it names none or was
-   * ignored. */
+   * ignored.
+   */
   applyState(
     { state }: MessageOf<"state.told">,
     now: number,
--- a/src/core/exchange/state_publisher.ts
+++ b/src/core/exchange/state_publisher.ts
@@ -25,11 +25,15 @@
 import type { RegistryUpdate } from "../registry/index.ts";
 import type { StoreHealth } from "../store_health.ts";
 
-/** Time that a published change may take to reach a follower, in milliseconds. During
- * this time a report without the change is answered as if the change had arrived. */
+/**
+ * Time that a published change may take to reach a follower, in milliseconds. During
+ * this time a report without the change is answered as if the change had arrived.
+ */
 const PROPAGATION_TIME = 120;
-/** Maximum number of published versions that are kept. A follower with one of them gets
- * only the changes after it. Covers some seconds of a busy holder. */
+/**
+ * Maximum number of published versions that are kept. A follower with one of them gets
+ * only the changes after it. Covers some seconds of a busy holder.
+ */
 const MAXIMUM_VERSIONS = 256;
 
 /** A published version of the assignments. */
@@ -53,12 +57,16 @@
   #publishedPosition: number | null = null;
   /** Version of the active configuration, and since when it is known to be active. */
   #configuration = { version: -1, since: -Infinity };
-  /** Pacing of messages with all assignments, which count as the same within a term, and
-   * of those with the configuration, by its version. */
+  /**
+   * Pacing of messages with all assignments, which count as the same within a term, and
+   * of those with the configuration, by its version.
+   */
   readonly #assignmentPacing = MessagePacing.create();
   readonly #configurationPacing = MessagePacing.create();
-  /** Last report of each follower, by address, that was received while changes were not
-   * published yet. */
+  /**
+   * Last report of each follower, by address, that was received while changes were not
+   * published yet.
+   */
   readonly #deferredReports = new Map<string, FollowerReport>();
 
   private constructor(
@@ -87,9 +95,11 @@
     return this.#link.vmCount(now);
   }
 
-  /** Returns messages with the address of the new holder to the followers that receive
+  /**
+   * Returns messages with the address of the new holder to the followers that receive
    * store updates from this VM, if it was the holder. They would otherwise learn of the
-   * new holder only after their timeout for messages from this VM. */
+   * new holder only after their timeout for messages from this VM.
+   */
   announceSuccessor(holder: HolderAddress): PeerSend[] {
     const senderState = this.clusterState.senderState();
     return this.#link.announceSuccessor(senderState, holder);
@@ -133,9 +143,11 @@
     else this.#deferredReports.set(address, report);
   }
 
-  /** Records the latencies that a follower measured, except of servers that have restarted
+  /**
+   * Records the latencies that a follower measured, except of servers that have restarted
    * since the registry position that the follower has reached: it may have measured the
-   * previous process. */
+   * previous process.
+   */
   #recordLatencies({ latencies, position }: FollowerReport, now: number): void {
     const { fleet, registry } = this.clusterState;
     const isOfSameIncarnation = ({ server }: ServerSamples) =>
@@ -143,10 +155,12 @@
     fleet.addPeerSamples(latencies.filter(isOfSameIncarnation), now);
   }
 
-  /** Sends a follower the configuration if it lacks it: immediately if the follower
+  /**
+   * Sends a follower the configuration if it lacks it: immediately if the follower
    * receives store updates from this VM, and otherwise after the time in which the
    * follower's own long poll should have returned it. The response to the poll may have
-   * been lost. */
+   * been lost.
+   */
   #sendConfiguration(
     address: string,
     report: FollowerReport,
@@ -168,8 +182,10 @@
     );
   }
 
-  /** Sends a follower the assignments or the changes that it lacks, unless they may
-   * still be in transit. */
+  /**
+   * Sends a follower the assignments or the changes that it lacks, unless they may
+   * still be in transit.
+   */
   #catchUp(
     holder: TermHolder,
     address: string,
@@ -213,8 +229,10 @@
     return term === this.#published.term && version === this.#published.version;
   }
 
-  /** Publishes the holder's assignments if they have changed, and then sends
-   * the senders of the deferred reports what they lack. */
+  /**
+   * Publishes the holder's assignments if they have changed, and then sends
+   * the senders of the deferred reports what they lack.
+   */
   #publish(holder: TermHolder, now: number): void {
     if (this.#isCurrent(holder)) return;
     const { term, version } = holder;
--- a/src/core/exchange/state_publisher_test.ts
+++ b/src/core/exchange/state_publisher_test.ts
@@ -37,8 +37,10 @@
     StoreHealth.create(),
     (...some) => effects.push(...some),
   );
-  /** Returns a report of a follower that has `version` of the assignments; 0 if it has
-   * none. */
+  /**
+   * Returns a report of a follower that has `version` of the assignments; 0 if it has
+   * none.
+   */
   const report = (version: number): FollowerReport => ({
     kind: "keys.asked",
     term: version === 0 ? 0 : 1,
--- a/src/core/exchange/token_exchange.ts
+++ b/src/core/exchange/token_exchange.ts
@@ -18,8 +18,10 @@
 export class TokenExchange {
   readonly tokens: RateTokens;
   readonly #buckets = TokenBuckets.create();
-  /** Whether the holder supports token requests. A holder of an older version closes
-   * the connection when it receives one. */
+  /**
+   * Whether the holder supports token requests. A holder of an older version closes
+   * the connection when it receives one.
+   */
   #hasTokenSupport = false;
 
   private constructor(
@@ -39,8 +41,10 @@
     );
   }
 
-  /** Creates the exchange of the VM at `ownAddress`. `vmCount` returns the estimated
-   * number of VMs or null, and `draw` a random number in [0, 1). */
+  /**
+   * Creates the exchange of the VM at `ownAddress`. `vmCount` returns the estimated
+   * number of VMs or null, and `draw` a random number in [0, 1).
+   */
   static create(
     clusterState: ClusterState,
     emit: Emit,
@@ -51,15 +55,19 @@
     return new TokenExchange(clusterState, emit, ownAddress, vmCount, draw);
   }
 
-  /** Uses the VM at address `holder` as the term holder from now on. If it is this VM, it
-   * hands out tokens. */
+  /**
+   * Uses the VM at address `holder` as the term holder from now on. If it is this VM, it
+   * hands out tokens.
+   */
   follow(holder: string, now: number): void {
     this.#hasTokenSupport = false;
     if (holder === this.ownAddress) this.#buckets.reset(now);
   }
 
-  /** Handles the holder's answer to a report, which shows whether it supports token
-   * requests. */
+  /**
+   * Handles the holder's answer to a report, which shows whether it supports token
+   * requests.
+   */
   holderAnswered(hasTokenSupport: boolean): void {
     this.#hasTokenSupport = hasTokenSupport;
   }
--- a/src/core/exchange/token_exchange_test.ts
+++ b/src/core/exchange/token_exchange_test.ts
@@ -13,8 +13,10 @@
 /** When the buckets, which are empty at time 0, are full, in milliseconds. */
 const FULL_AT = 2_000;
 
-/** Creates VMs that follow the holder `h` from time 0 and know a server that is limited
- * to five requests per second. */
+/**
+ * Creates VMs that follow the holder `h` from time 0 and know a server that is limited
+ * to five requests per second.
+ */
 function createVms(addresses: readonly string[]) {
   return addresses.map((address) => {
     const sent: PeerSend[] = [];
--- a/src/core/fleet/backend_server.ts
+++ b/src/core/fleet/backend_server.ts
@@ -7,11 +7,15 @@
 
 /** The registry entry of one process of a backend server, written by that process. */
 export const backendServerSchema = z.object({
-  /** Identifies the server across restarts; id and incarnation together identify one
-   * process of it. */
+  /**
+   * Identifies the server across restarts; id and incarnation together identify one
+   * process of it.
+   */
   id: z.string().min(1),
-  /** When this process started, in Unix milliseconds of the server's clock; 0 if the
-   * server does not report it. Compared for equality only, since clocks can step back. */
+  /**
+   * When this process started, in Unix milliseconds of the server's clock; 0 if the
+   * server does not report it. Compared for equality only, since clocks can step back.
+   */
   incarnation: z.number().int().nonnegative(),
   service: z.string().min(1),
   address: z.string().min(1),
--- a/src/core/fleet/fleet.ts
+++ b/src/core/fleet/fleet.ts
@@ -30,8 +30,10 @@
  */
 const UNREADABLE_ENTRY_TIMEOUT = 1_500;
 
-/** Time for which the mean latency of a service's servers is cached, in milliseconds.
- * Each request reads it several times, and it changes slowly. */
+/**
+ * Time for which the mean latency of a service's servers is cached, in milliseconds.
+ * Each request reads it several times, and it changes slowly.
+ */
 const MEAN_LATENCY_LIFETIME = 50;
 
 /** Latency samples of one server. */
@@ -69,8 +71,10 @@
   readonly #servers = new Map<string, TrackedServer>();
   readonly #byService = new Map<string, TrackedServer[]>();
   readonly #joinedAt = new Map<string, number>();
-  /** Ids of servers that are known only from other VMs and were not yet found in the
-   * registry. */
+  /**
+   * Ids of servers that are known only from other VMs and were not yet found in the
+   * registry.
+   */
   readonly #unconfirmed = new Set<string>();
   /** When deferred removals are due, by the server's id. */
   readonly #deferredRemovals = new Map<string, number>();
@@ -104,8 +108,10 @@
     }
   }
 
-  /** Applies new and changed `entries`, `removed` server ids, and ids of servers whose
-   * entry became `unreadable`. Returns the resulting changes to the list. */
+  /**
+   * Applies new and changed `entries`, `removed` server ids, and ids of servers whose
+   * entry became `unreadable`. Returns the resulting changes to the list.
+   */
   apply(
     entries: readonly BackendServer[],
     removed: readonly string[],
@@ -144,9 +150,11 @@
     return this.apply(usable, [], now);
   }
 
-  /** Checks the servers that are known only from other VMs, once the registry has been
+  /**
+   * Checks the servers that are known only from other VMs, once the registry has been
    * read again. Those that the registry does not list are removed after a delay, unless
-   * an entry is read by then. */
+   * an entry is read by then.
+   */
   confirmPeerEntries(isListed: (id: string) => boolean, now: number): void {
     for (const id of this.#unconfirmed) {
       if (!isListed(id)) this.#removeLater(id, now);
@@ -230,8 +238,10 @@
     });
   }
 
-  /** Applies rate limits that servers reported to other VMs. Returns those that came into
-   * force or ended. */
+  /**
+   * Applies rate limits that servers reported to other VMs. Returns those that came into
+   * force or ended.
+   */
   applyPeerRateLimits(
     rateLimits: readonly ServerRateLimit[],
     now: number,
@@ -243,14 +253,18 @@
     });
   }
 
-  /** Returns when a server last joined a service, or -Infinity. A restarted server counts
-   * as newly joined, since it holds no keys. */
+  /**
+   * Returns when a server last joined a service, or -Infinity. A restarted server counts
+   * as newly joined, since it holds no keys.
+   */
   joinedAt(service: string): number {
     return this.#joinedAt.get(service) ?? -Infinity;
   }
 
-  /** Whether a server other than `id` is listed at `address`. That server may have ended
-   * already, since entries remain listed for a while. */
+  /**
+   * Whether a server other than `id` is listed at `address`. That server may have ended
+   * already, since entries remain listed for a while.
+   */
   isAddressReused(address: string, id: string): boolean {
     for (const server of this.#servers.values()) {
       if (server.entry.address === address && server.id !== id) return true;
@@ -258,8 +272,10 @@
     return false;
   }
 
-  /** Returns the mean of the known latencies of a service's servers, in milliseconds; 0
-   * if none is known. */
+  /**
+   * Returns the mean of the known latencies of a service's servers, in milliseconds; 0
+   * if none is known.
+   */
   meanLatency(service: string, now: number): number {
     const known = this.#meanLatencies.get(service);
     if (known !== undefined && now < known.until) return known.latency;
@@ -330,8 +346,10 @@
     if (this.#servers.has(id)) this.#deferredRemovals.set(id, until);
   }
 
-  /** Schedules the removal of a server without a usable entry. An entry that is read by
-   * then cancels it. */
+  /**
+   * Schedules the removal of a server without a usable entry. An entry that is read by
+   * then cancels it.
+   */
   #removeLater(id: string, now: number): void {
     if (!this.#servers.has(id) || this.#deferredRemovals.has(id)) return;
     this.#deferredRemovals.set(id, now + UNREADABLE_ENTRY_TIMEOUT);
--- a/src/core/fleet/fleet_test.ts
+++ b/src/core/fleet/fleet_test.ts
@@ -32,8 +32,10 @@
   t.deepEqual(fleet.apply([restarted], [], 2), []);
 });
 
-/** A fleet with a server that was slow, unresponsive, full, failing and draining, and
- * was then listed with another incarnation. */
+/**
+ * A fleet with a server that was slow, unresponsive, full, failing and draining, and
+ * was then listed with another incarnation.
+ */
 function restartedFleet(): Fleet {
   const fleet = Fleet.create();
   fleet.apply([entry("a", { incarnation: 100 })], [], 0);
--- a/src/core/fleet/reported_rate_limit.ts
+++ b/src/core/fleet/reported_rate_limit.ts
@@ -7,12 +7,16 @@
  */
 import * as z from "zod";
 
-/** Bounds of the time after which a limit expires that is not reported again, in
- * milliseconds. */
+/**
+ * Bounds of the time after which a limit expires that is not reported again, in
+ * milliseconds.
+ */
 const MINIMUM_LIFETIME = 10_000;
 const MAXIMUM_LIFETIME = 60_000;
-/** Lifetime in multiples of the interval between requests at the limit, so that a low
- * limit does not expire between two responses. */
+/**
+ * Lifetime in multiples of the interval between requests at the limit, so that a low
+ * limit does not expire between two responses.
+ */
 const INTERVALS_PER_LIFETIME = 4;
 /** Milliseconds in a second. */
 const MILLISECONDS_PER_SECOND = 1_000;
@@ -31,8 +35,10 @@
 /** Whether a limit came into force or ended. */
 export type RateLimitChange = "limited" | "unlimited";
 
-/** The rate limit of one server; see the module's comment. Times are milliseconds of this
- * VM's clock. */
+/**
+ * The rate limit of one server; see the module's comment. Times are milliseconds of this
+ * VM's clock.
+ */
 export class ReportedRateLimit {
   #requestsPerSecond: number | null = null;
   /** When the response with the latest known report arrived, at whichever VM. */
@@ -68,8 +74,10 @@
     return change;
   }
 
-  /** Applies a report that another VM received, unless it is older than the latest.
-   * Returns whether a limit came into force or ended, or null. */
+  /**
+   * Applies a report that another VM received, unless it is older than the latest.
+   * Returns whether a limit came into force or ended, or null.
+   */
   applyPeerReport(
     { requestsPerSecond, age }: RateLimitReport,
     now: number,
--- a/src/core/fleet/tracked_server.ts
+++ b/src/core/fleet/tracked_server.ts
@@ -10,25 +10,35 @@
 
 /** Weight of the newest sample in exponential moving averages. */
 const SAMPLE_WEIGHT = 0.2;
-/** Time constant with which the assumed load from other VMs decays after a load report,
+/**
+ * Time constant with which the assumed load from other VMs decays after a load report,
  * in milliseconds; about the duration of a request. Also the time for which a report
- * counts as recent. */
+ * counts as recent.
+ */
 const LOAD_DECAY_TIME = 300;
-/** Time for which a load report to another VM is used, in milliseconds. The term holder
- * relays such reports, which takes half a second in each direction. */
+/**
+ * Time for which a load report to another VM is used, in milliseconds. The term holder
+ * relays such reports, which takes half a second in each direction.
+ */
 const LOAD_REPORT_LIFETIME = 2_000;
-/** Initial pause after consecutive failures, in milliseconds. Each further failure
- * doubles it. */
+/**
+ * Initial pause after consecutive failures, in milliseconds. Each further failure
+ * doubles it.
+ */
 const INITIAL_PAUSE = 300;
-/** Maximum of that pause, in milliseconds: a server that recovers is tried again within
- * this time. */
+/**
+ * Maximum of that pause, in milliseconds: a server that recovers is tried again within
+ * this time.
+ */
 const MAXIMUM_PAUSE = 3_000;
 /** Consecutive failures before a server is paused; a single one may be by chance. */
 const FAILURES_TO_PAUSE = 2;
 /** Lower bound of the assumed share of accepted requests, so that costs stay finite. */
 const MINIMUM_ACCEPTANCE_RATE = 0.05;
-/** Time without a response after which a server counts as unresponsive: a multiple of
- * the mean latency, and the minimum in milliseconds. */
+/**
+ * Time without a response after which a server counts as unresponsive: a multiple of
+ * the mean latency, and the minimum in milliseconds.
+ */
 const UNRESPONSIVE_LATENCY_FACTOR = 4;
 const MINIMUM_UNRESPONSIVE_TIME = 250;
 
@@ -44,8 +54,10 @@
 export interface LatencySamples {
   /** Mean latency, in milliseconds. */
   mean: number;
-  /** Number of measured responses; 0 if the server queued all requests before running
-   * them. */
+  /**
+   * Number of measured responses; 0 if the server queued all requests before running
+   * them.
+   */
   count: number;
   /** The load that it reported with the last response, if any. */
   load?: LoadReport;
@@ -82,12 +94,16 @@
   #acceptanceRate = 1;
   #consecutiveFailures = 0;
   #pausedUntil = 0;
-  /** Number of requests of other VMs according to its latest load report to this VM, and
-   * the time of that report. */
+  /**
+   * Number of requests of other VMs according to its latest load report to this VM, and
+   * the time of that report.
+   */
   #othersLoad = 0;
   #ownReportAt = -Infinity;
-  /** Number of requests in the latest load report to any VM, and the time of that
-   * report. */
+  /**
+   * Number of requests in the latest load report to any VM, and the time of that
+   * report.
+   */
   #reportedRequests = 0;
   #reportedAt = -Infinity;
   #lastResponseAt = -Infinity;
@@ -128,8 +144,10 @@
     return this.entry.isDraining || this.evacuatedSince !== null;
   }
 
-  /** Sets whether its zone is evacuated. Once the zone is restored it may be cold, since
-   * it may have restarted in the meantime. */
+  /**
+   * Sets whether its zone is evacuated. Once the zone is restored it may be cold, since
+   * it may have restarted in the meantime.
+   */
   setEvacuated(isEvacuated: boolean, now: number): void {
     if (isEvacuated) {
       this.evacuatedSince ??= now;
@@ -139,9 +157,11 @@
     }
   }
 
-  /** Whether it may be able to handle only few requests because it is warming up
+  /**
+   * Whether it may be able to handle only few requests because it is warming up
    * according to its entry, or because it may have restarted recently, which its entry
-   * shows late. A restarted server is cold for `duration` milliseconds. */
+   * shows late. A restarted server is cold for `duration` milliseconds.
+   */
   isCold(now: number, duration: number): boolean {
     return this.#isConnectionRefused || now < this.#coldUntil ||
       now < this.#mayBeColdSince + duration;
@@ -168,8 +188,10 @@
     return this.#startedAt.has(attempt);
   }
 
-  /** Records the end of an attempt that says nothing about the server, such as a
-   * cancelled one. */
+  /**
+   * Records the end of an attempt that says nothing about the server, such as a
+   * cancelled one.
+   */
   cancelled(attempt: number): void {
     this.#endAttempt(attempt);
   }
@@ -282,9 +304,11 @@
     return Math.max(this.inFlight + others, this.#remainingReportedLoad(now));
   }
 
-  /** Estimates how many requests remain of those in its latest load report to another VM.
+  /**
+   * Estimates how many requests remain of those in its latest load report to another VM.
    * It assumes that the server has processed requests since then and received no new
-   * ones, as VMs avoid a full server. */
+   * ones, as VMs avoid a full server.
+   */
   #remainingReportedLoad(now: number): number {
     const age = now - this.#reportedAt;
     const isOwn = this.#reportedAt <= this.#ownReportAt;
@@ -319,8 +343,10 @@
     this.#reportedAt = now;
   }
 
-  /** Ends an attempt. Returns when it was started, or null if it was not started on this
-   * instance. */
+  /**
+   * Ends an attempt. Returns when it was started, or null if it was not started on this
+   * instance.
+   */
   #endAttempt(attempt: number): number | null {
     const startedAt = this.#startedAt.get(attempt);
     if (startedAt === undefined) return null;
--- a/src/core/holder_change_test.ts
+++ b/src/core/holder_change_test.ts
@@ -13,12 +13,16 @@
 import type { UntimedEvent } from "./entry_event.ts";
 
 const HOLDER = "holder:1";
-/** Maximum time over which the first reports to a new holder are spread, in
- * milliseconds. */
+/**
+ * Maximum time over which the first reports to a new holder are spread, in
+ * milliseconds.
+ */
 const REPORT_SPREAD = 500;
 
-/** Creates a VM of low fitness in a deployment of `vms` VMs, to which a new holder of
- * higher fitness is announced at time 0. */
+/**
+ * Creates a VM of low fitness in a deployment of `vms` VMs, to which a new holder of
+ * higher fitness is announced at time 0.
+ */
 function createFollower(vms: number, seed: number) {
   const { entry, step } = createSteppedEntry({ fitness: 0.5, seed });
   step(-100, {
@@ -49,8 +53,10 @@
   return effect.kind === "peer.send" && effect.message.kind === "keys.asked";
 }
 
-/** Returns when the first report is sent to the new holder, in milliseconds after its
- * announcement. */
+/**
+ * Returns when the first report is sent to the new holder, in milliseconds after its
+ * announcement.
+ */
 function firstReportAt(vms: number, seed: number): number {
   const { entry, step, announced } = createFollower(vms, seed);
   if (announced.some(isReport)) return 0;
@@ -81,9 +87,11 @@
   t.true(fewTimes.every((time) => time === 0), `${fewTimes}`);
 });
 
-/** Returns when a VM of low fitness becomes a candidate although the announced holder
+/**
+ * Returns when a VM of low fitness becomes a candidate although the announced holder
  * is fitter; Infinity if it does not. `versionAt` returns the version of the recorded
- * assignments, which the VM reads every second. */
+ * assignments, which the VM reads every second.
+ */
 function candidacyAt(versionAt: (now: number) => number): number {
   const { step } = createFollower(195, 1);
   let joinedAt = Infinity;
--- a/src/core/peers/compact_assignment.ts
+++ b/src/core/peers/compact_assignment.ts
@@ -9,8 +9,10 @@
 /** Server index of a range that is assigned to no server. */
 const NO_SERVER = -1;
 
-/** Returns the compact form of an assignment. The term and the version, which the
- * message has anyway, are left out. */
+/**
+ * Returns the compact form of an assignment. The term and the version, which the
+ * message has anyway, are left out.
+ */
 export function compactAssignment(assignment: Assignment): CompactAssignment {
   const servers: CompactAssignment["servers"] = [];
   const indexes = new Map<string, number>();
@@ -29,8 +31,10 @@
   return { service: assignment.service, servers, ranges };
 }
 
-/** Restores an assignment from its compact form and the term and version of the message
- * that contained it. */
+/**
+ * Restores an assignment from its compact form and the term and version of the message
+ * that contained it.
+ */
 export function expandAssignment(
   { service, servers, ranges }: CompactAssignment,
   term: number,
--- a/src/core/peers/follower_link.ts
+++ b/src/core/peers/follower_link.ts
@@ -12,42 +12,60 @@
 import type { ServerRateLimit, ServerSamples } from "../fleet/index.ts";
 import type { FollowerReport, PeerSend, SenderState } from "./peer_message.ts";
 
-/** Time between two reports, in milliseconds. It limits how soon the holder detects a
+/**
+ * Time between two reports, in milliseconds. It limits how soon the holder detects a
  * busy key and how old the registry data received from the holder can be. With half of
  * this interval, busy keys moved no sooner, and the reports took a tenth of an idle VM's
- * processor time. */
+ * processor time.
+ */
 const REPORT_INTERVAL = 500;
-/** Initial time between two reports while this VM's state appears out of date, in
- * milliseconds. It doubles with each unanswered report, up to the regular interval. */
+/**
+ * Initial time between two reports while this VM's state appears out of date, in
+ * milliseconds. It doubles with each unanswered report, up to the regular interval.
+ */
 const URGENT_REPORT_INTERVAL = 60;
 /** Number of VMs from which a new holder can answer the first reports at once. */
 const IMMEDIATE_REPORTS = 20;
-/** Time over which the first reports to a new holder are spread, in milliseconds per VM
+/**
+ * Time over which the first reports to a new holder are spread, in milliseconds per VM
  * beyond that number. The holder accepts connections one at a time and answers each
- * first report with all assignments. */
+ * first report with all assignments.
+ */
 const REPORT_SPREAD_PER_VM = 3;
-/** Time without a message from the holder after which the assignments are fetched from
- * the store, in milliseconds. */
+/**
+ * Time without a message from the holder after which the assignments are fetched from
+ * the store, in milliseconds.
+ */
 const HOLDER_TIMEOUT = 1_600;
-/** The same for a process that has never received a message from any holder. After a
+/**
+ * The same for a process that has never received a message from any holder. After a
  * failure of all VMs, the holder named in the store no longer runs, and only the store
- * has the last assignments. */
+ * has the last assignments.
+ */
 const FIRST_CONTACT_TIMEOUT = 60;
-/** Minimum time between two fetches from the store, in milliseconds. Reads are
- * billed. */
+/**
+ * Minimum time between two fetches from the store, in milliseconds. Reads are
+ * billed.
+ */
 const FETCH_INTERVAL = 1_000;
-/** Maximum age of the store data received from the holder with which this VM makes no
+/**
+ * Maximum age of the store data received from the holder with which this VM makes no
  * store calls of its own, in milliseconds. The age consists of the time since the last
  * answered report, up to half a second, and the time since the holder's last answered
  * store call. If the holder cannot reach the store, this VM calls it after this time,
- * which leaves a second to apply a configuration that must be in force within 2.5 s. */
+ * which leaves a second to apply a configuration that must be in force within 2.5 s.
+ */
 const MAXIMUM_STORE_AGE = 1_500;
-/** Maximum number of keys per service in one report. More keys would not make the
- * sample more accurate. */
+/**
+ * Maximum number of keys per service in one report. More keys would not make the
+ * sample more accurate.
+ */
 const MAXIMUM_SAMPLED_KEYS = 128;
 
-/** Effect that reads the assignments from the store. The result is the event
- * `assignments.read`. */
+/**
+ * Effect that reads the assignments from the store. The result is the event
+ * `assignments.read`.
+ */
 export interface AssignmentFetch {
   kind: "assignments.fetch";
 }
@@ -77,8 +95,10 @@
 
   private constructor(private readonly fitness: number) {}
 
-  /** Creates a link without a holder. `fitness` is this VM's fitness to hold the
-   * term. */
+  /**
+   * Creates a link without a holder. `fitness` is this VM's fitness to hold the
+   * term.
+   */
   static create(fitness: number): FollowerLink {
     return new FollowerLink(fitness);
   }
@@ -93,9 +113,11 @@
     return this.#holder;
   }
 
-  /** Follows a new term holder; `address` is null if it is this VM. All VMs learn of a
+  /**
+   * Follows a new term holder; `address` is null if it is this VM. All VMs learn of a
    * new holder at the same time, so each delays its first report by the share `chance`,
-   * a random number in [0, 1), of the spread. All later reports are spread with it. */
+   * a random number in [0, 1), of the spread. All later reports are spread with it.
+   */
   follow(
     address: string | null,
     vmCount: number | null,
@@ -123,15 +145,19 @@
     };
   }
 
-  /** Whether the store data received from the holder is recent enough to replace this
-   * VM's own calls to the store. */
+  /**
+   * Whether the store data received from the holder is recent enough to replace this
+   * VM's own calls to the store.
+   */
   isStoreStateCurrent(now: number): boolean {
     return this.#holder !== null &&
       now - this.#storeContactAt <= MAXIMUM_STORE_AGE;
   }
 
-  /** Records the holder's answer to the report sent at `sentAt`. `storeContactAt` is
-   * the latest time at which the holder is known to have reached the store. */
+  /**
+   * Records the holder's answer to the report sent at `sentAt`. `storeContactAt` is
+   * the latest time at which the holder is known to have reached the store.
+   */
   reportAnswered(sentAt: number, storeContactAt: number): void {
     this.#storeContactAt = Math.max(this.#storeContactAt, storeContactAt);
     if (this.#urgentReport !== null && sentAt >= this.#urgentReport.sentAt) {
@@ -145,8 +171,10 @@
     return now - this.#reportedAt >= interval;
   }
 
-  /** When an urgent report or the first report to a new holder is due; Infinity if
-   * neither is. */
+  /**
+   * When an urgent report or the first report to a new holder is due; Infinity if
+   * neither is.
+   */
   nextAt(): number {
     if (this.#holder === null) return Infinity;
     const isFirst = this.#reportedAt < this.#followingSince;
--- a/src/core/peers/holder_link.ts
+++ b/src/core/peers/holder_link.ts
@@ -18,13 +18,17 @@
 } from "./peer_message.ts";
 import { compactAssignment } from "./compact_assignment.ts";
 
-/** Time without a report after which a follower counts as stopped, in milliseconds.
- * Several reports are missing by then. */
+/**
+ * Time without a report after which a follower counts as stopped, in milliseconds.
+ * Several reports are missing by then.
+ */
 const FOLLOWER_TIMEOUT = 3_000;
 
-/** Maximum number of messages with changes per millisecond, over all followers. With
+/**
+ * Maximum number of messages with changes per millisecond, over all followers. With
  * 10 followers the holder can publish every 7 ms, with 73 every 49 ms. Both are short
- * compared with the 110 ms or more that requests for moving keys wait. */
+ * compared with the 110 ms or more that requests for moving keys wait.
+ */
 const MAXIMUM_MESSAGE_RATE = 1.5;
 
 /** All assignments of the holder's term, with the state that goes into the message. */
@@ -53,8 +57,10 @@
   readonly #reportedAt = new Map<string, number>();
   /** Followers that receive store updates from this VM instead of the store. */
   readonly #updateReceivers = new Set<string>();
-  /** The last message with the configuration. The same object is sent to all followers, so
-   * that it is encoded only once. */
+  /**
+   * The last message with the configuration. The same object is sent to all followers, so
+   * that it is encoded only once.
+   */
   #configurationMessage: MessageOf<"configuration.told"> | null = null;
 
   private constructor() {}
@@ -72,8 +78,10 @@
     return this.#reportedAt.size + 1;
   }
 
-  /** Records a follower's report. `hasHolderUpdates` is true if the follower receives
-   * store updates from this VM. */
+  /**
+   * Records a follower's report. `hasHolderUpdates` is true if the follower receives
+   * store updates from this VM.
+   */
   reportReceived(
     address: string,
     hasHolderUpdates: boolean,
@@ -97,8 +105,10 @@
     return this.#reportedAt.size / MAXIMUM_MESSAGE_RATE;
   }
 
-  /** Returns the answer to the report that a follower sent at `answersTo` by its own
-   * clock. It contains registry changes and the state of overloaded servers. */
+  /**
+   * Returns the answer to the report that a follower sent at `answersTo` by its own
+   * clock. It contains registry changes and the state of overloaded servers.
+   */
   answerReport(
     address: string,
     holderState: HolderState,
@@ -175,8 +185,10 @@
     return this.#sendToAll({ kind: "servers.told", ...senderState, registry });
   }
 
-  /** Returns messages with the address of the new term holder to the followers that
-   * receive store updates from this VM, and removes all followers. */
+  /**
+   * Returns messages with the address of the new term holder to the followers that
+   * receive store updates from this VM, and removes all followers.
+   */
   announceSuccessor(
     senderState: SenderState,
     holder: HolderAddress,
--- a/src/core/peers/message_pacing.ts
+++ b/src/core/peers/message_pacing.ts
@@ -8,8 +8,10 @@
  * @module
  */
 
-/** Time after which a message is sent again to a follower that still lacks it, in
- * milliseconds. This is how long a failed connection delays a follower. */
+/**
+ * Time after which a message is sent again to a follower that still lacks it, in
+ * milliseconds. This is how long a failed connection delays a follower.
+ */
 const RESEND_DELAY = 900;
 
 /** The last message sent to a follower. */
--- a/src/core/peers/peer_message.ts
+++ b/src/core/peers/peer_message.ts
@@ -27,8 +27,10 @@
 
 /** Crash records of a VM: the requests that crashed servers. */
 const quarantineUpdateSchema = z.object({
-  /** Digest of the sender's records that all VMs should have, or null if the receiver
-   * need not compare it with its own. */
+  /**
+   * Digest of the sender's records that all VMs should have, or null if the receiver
+   * need not compare it with its own.
+   */
   digest: count.nullable(),
   records: z.array(crashRecordSchema).max(MAXIMUM_RECORDS),
 });
@@ -38,17 +40,23 @@
 
 /** Part of the sender's state that all messages include. */
 const senderStateSchema = z.object({
-  /** Newest assignments that the sender has: their term, and their version, which counts
-   * the changes within the term. */
+  /**
+   * Newest assignments that the sender has: their term, and their version, which counts
+   * the changes within the term.
+   */
   term: count,
   version: count,
   /** Version of the sender's active configuration, or -1 if there is none. */
   configuration: z.number().int(),
-  /** Evacuated availability zones. Absent while the sender does not know them, and in
-   * messages of older versions. */
+  /**
+   * Evacuated availability zones. Absent while the sender does not know them, and in
+   * messages of older versions.
+   */
   evacuation: evacuationSnapshotSchema.optional(),
-  /** Included in reports, in requests for state and in messages whose only purpose is
-   * to transfer it. Older versions omit and ignore it. */
+  /**
+   * Included in reports, in requests for state and in messages whose only purpose is
+   * to transfer it. Older versions omit and ignore it.
+   */
   quarantine: quarantineUpdateSchema.optional(),
 });
 
@@ -73,9 +81,11 @@
   vms: count,
   /** Fitness of the fittest VM that the holder knows of, including itself. */
   fittest: z.number().nonnegative(),
-  /** Milliseconds since the holder sent its last store call that was answered, which is
+  /**
+   * Milliseconds since the holder sent its last store call that was answered, which is
    * the maximum age of its copy of the store's data. Absent in messages of older
-   * versions. */
+   * versions.
+   */
   storeSilence: z.number().nonnegative().optional(),
 });
 
@@ -108,8 +118,10 @@
 /** Maximum number of servers whose rate limits one message carries. */
 export const MAXIMUM_RATES = 256;
 
-/** Rate limits reported by servers. Absent in messages of older versions. If a holder's
- * message includes the list, even an empty one, the holder supports token requests. */
+/**
+ * Rate limits reported by servers. Absent in messages of older versions. If a holder's
+ * message includes the list, even an empty one, the holder supports token requests.
+ */
 const ratesSchema = z.array(
   rateLimitReportSchema.extend({ server: z.string() }),
 )
@@ -119,8 +131,10 @@
 const followerReportSchema = senderStateSchema.extend({
   kind: z.literal("keys.asked"),
   samples: z.array(z.object({ service: z.string(), keys: z.array(count) })),
-  /** Response times of the servers that hold keys since the last report: the mean in
-   * milliseconds and the number of responses. */
+  /**
+   * Response times of the servers that hold keys since the last report: the mean in
+   * milliseconds and the number of responses.
+   */
   latencies: z.array(
     z.object({
       server: z.string(),
@@ -136,8 +150,10 @@
   sentAt: z.number(),
   /** Fitness of the sender's VM to hold the term. */
   fitness: z.number().nonnegative(),
-  /** Whether the sender receives store updates from the holder instead of the store.
-   * Older versions omit it and read the store. */
+  /**
+   * Whether the sender receives store updates from the holder instead of the store.
+   * Older versions omit it and read the store.
+   */
   isTold: z.boolean().optional(),
   rates: ratesSchema,
 });
@@ -150,8 +166,10 @@
   kind: z.literal("holder.alive"),
   /** Registry changes that the follower lacks, or null. */
   registry: registryUpdateSchema.nullable(),
-  /** When the answered report was sent, by the follower's clock. Older versions omit
-   * it. */
+  /**
+   * When the answered report was sent, by the follower's clock. Older versions omit
+   * it.
+   */
   answersTo: z.number().optional(),
   /** All limits on requests for keys; absent if there are none. */
   limits: z.array(keyLimitSchema).optional(),
@@ -175,8 +193,10 @@
   registry: registryUpdateSchema,
 });
 
-/** Sent by the holder with all assignments, at the start of its term and to followers
- * that lack more than recent changes. */
+/**
+ * Sent by the holder with all assignments, at the start of its term and to followers
+ * that lack more than recent changes.
+ */
 const assignmentsToldSchema = holderStateSchema.extend({
   kind: z.literal("assignments.told"),
   assignments: z.array(compactAssignmentSchema),
@@ -188,9 +208,11 @@
   told: configurationSchema,
 });
 
-/** Names the current term holder. A former holder sends it to its followers when it has
+/**
+ * Names the current term holder. A former holder sends it to its followers when it has
  * a successor. A holder that has lost its authority but has no successor names itself,
- * to show that it is still running. It is also sent to transfer a quarantine update. */
+ * to show that it is still running. It is also sent to transfer a quarantine update.
+ */
 const holderChangedSchema = senderStateSchema.extend({
   kind: z.literal("holder.changed"),
   holder: holderAddressSchema,
@@ -199,8 +221,10 @@
 /** Requests another VM's state for a process that cannot reach the store. */
 const stateWantedSchema = senderStateSchema.extend({
   kind: z.literal("state.wanted"),
-  /** Whether the answer may omit what the sender already has. Older versions need the
-   * whole state. */
+  /**
+   * Whether the answer may omit what the sender already has. Older versions need the
+   * whole state.
+   */
   takesParts: z.boolean().optional(),
 });
 
@@ -264,8 +288,10 @@
   server: z.string(),
   /** The server's rate limit as the sender knows it. */
   requestsPerSecond: z.number().positive(),
-  /** Whether no other route to the server's service has a more urgent priority than the
-   * route of the request. */
+  /**
+   * Whether no other route to the server's service has a more urgent priority than the
+   * route of the request.
+   */
   isUrgent: z.boolean(),
 });
 
--- a/src/core/peers/state_request.ts
+++ b/src/core/peers/state_request.ts
@@ -11,8 +11,10 @@
   SenderState,
 } from "./peer_message.ts";
 
-/** Time between two rounds of requests while this process has no configuration and so
- * cannot serve callers, in milliseconds. */
+/**
+ * Time between two rounds of requests while this process has no configuration and so
+ * cannot serve callers, in milliseconds.
+ */
 const STARTUP_INTERVAL = 400;
 /** The same for a process that has a configuration and lacks only changes. */
 const CATCH_UP_INTERVAL = 1_500;
@@ -23,8 +25,10 @@
 
   private constructor(private readonly seeds: readonly string[]) {}
 
-  /** Creates a request that is sent to the term holder and, while no configuration is
-   * known, to the VMs at the addresses `seeds`. */
+  /**
+   * Creates a request that is sent to the term holder and, while no configuration is
+   * known, to the VMs at the addresses `seeds`.
+   */
   static create(seeds: readonly string[]): StateRequest {
     return new StateRequest(seeds);
   }
--- a/src/core/peers/vm_count.ts
+++ b/src/core/peers/vm_count.ts
@@ -7,8 +7,10 @@
  * @module
  */
 
-/** Time for which a larger count is kept, in milliseconds: the window of the retry
- * budget, in which VMs that have stopped still count. */
+/**
+ * Time for which a larger count is kept, in milliseconds: the window of the retry
+ * budget, in which VMs that have stopped still count.
+ */
 const RETENTION_TIME = 10_000;
 
 /** See the module's comment. Times are milliseconds. */
--- a/src/core/quarantine/crash_detector.ts
+++ b/src/core/quarantine/crash_detector.ts
@@ -19,22 +19,28 @@
 import { MAXIMUM_TARGET_LENGTH } from "./crash_record.ts";
 import type { Quarantine } from "./quarantine.ts";
 
-/** Time for which broken attempts and the exit of a process are kept, in milliseconds. It
+/**
+ * Time for which broken attempts and the exit of a process are kept, in milliseconds. It
  * exceeds the time of the few missed heartbeats after which a registry removes a
- * server's entry. */
+ * server's entry.
+ */
 const EVIDENCE_LIFETIME = 6_000;
 /** Maximum number of broken attempts that are kept per server. */
 const MAXIMUM_BROKEN_ATTEMPTS = 64;
 /** Maximum number of servers for which state is kept. */
 const MAXIMUM_SERVERS = 1_024;
-/** Initial and maximum pause between two probes of a server's address, in milliseconds.
+/**
+ * Initial and maximum pause between two probes of a server's address, in milliseconds.
  * It doubles with each successful probe, since a probe is a connection that the server
- * has to accept, and an overloaded server resets the connections of many requests. */
+ * has to accept, and an overloaded server resets the connections of many requests.
+ */
 const INITIAL_PROBE_PAUSE = 1_000;
 const MAXIMUM_PROBE_PAUSE = 16_000;
 
-/** Effect that probes whether a server's address accepts connections. The result is the
- * event `server.checked`. */
+/**
+ * Effect that probes whether a server's address accepts connections. The result is the
+ * event `server.checked`.
+ */
 export interface ServerProbe {
   kind: "server.check";
   server: string;
@@ -90,8 +96,10 @@
     private readonly reportCrash: (crash: CrashAttribution) => void,
   ) {}
 
-  /** Starts without state. Crashes are recorded in `quarantine` and passed to
-   * `reportCrash`. */
+  /**
+   * Starts without state. Crashes are recorded in `quarantine` and passed to
+   * `reportCrash`.
+   */
   static create(
     quarantine: Quarantine,
     reportCrash: (crash: CrashAttribution) => void,
@@ -99,9 +107,11 @@
     return new CrashDetector(quarantine, reportCrash);
   }
 
-  /** Records that the connection broke after a request was sent. Returns a probe of the
+  /**
+   * Records that the connection broke after a request was sent. Returns a probe of the
    * server's address, or null if the exit of the server is already known or expected or
-   * its address was probed recently. */
+   * its address was probed recently.
+   */
   connectionBroke(
     server: TrackedServer,
     request: BrokenRequest,
@@ -125,8 +135,10 @@
     return { kind: "server.check", server: server.id, address };
   }
 
-  /** Records that the known process of a server has exited: its address refused a
-   * connection, or another process responded there. */
+  /**
+   * Records that the known process of a server has exited: its address refused a
+   * connection, or another process responded there.
+   */
   exited(server: TrackedServer | undefined, now: number): void {
     if (server === undefined || server.entry.isDraining) return;
     const state = this.#currentState(server, now);
@@ -134,8 +146,10 @@
     this.#attributeAll(server.id, state, now);
   }
 
-  /** Records that a server's address accepted a probe: some process runs there, the known
-   * one or another. */
+  /**
+   * Records that a server's address accepted a probe: some process runs there, the known
+   * one or another.
+   */
   probeSucceeded(server: string): void {
     const state = this.#states.get(server);
     if (state === undefined) return;
--- a/src/core/quarantine/crash_record.ts
+++ b/src/core/quarantine/crash_record.ts
@@ -16,8 +16,10 @@
 const MAXIMUM_FINGERPRINT_LENGTH = 64;
 /** Maximum length of the name of a server process, in characters. */
 const MAXIMUM_NAME_LENGTH = 300;
-/** Maximum number of processes in each list of a record. More would not change whether
- * the request is quarantined. */
+/**
+ * Maximum number of processes in each list of a record. More would not change whether
+ * the request is quarantined.
+ */
 export const MAXIMUM_PROCESSES = 16;
 /** Maximum length of a record's target, in characters. */
 export const MAXIMUM_TARGET_LENGTH = 120;
@@ -37,8 +39,10 @@
   round: z.number().int().nonnegative(),
   /** Server processes that crashed while they ran the request, since its last release. */
   runs: runsSchema,
-  /** Server processes whose crashes no longer count against the request, because it was
-   * answered, another request was quarantined for them, or a trial began. */
+  /**
+   * Server processes whose crashes no longer count against the request, because it was
+   * answered, another request was quarantined for them, or a trial began.
+   */
   excused: runsSchema,
   /** Milliseconds since the last crash that was recorded for the request. */
   age: z.number().nonnegative(),
@@ -49,31 +53,43 @@
 /** A record as it is sent to other VMs. */
 export type CrashRecord = z.infer<typeof crashRecordSchema>;
 
-/** Number of crashes at which a request is quarantined. Fewer are no proof: a harmless
- * request may run beside the harmful one on one or two servers that crash. */
+/**
+ * Number of crashes at which a request is quarantined. Fewer are no proof: a harmless
+ * request may run beside the harmful one on one or two servers that crash.
+ */
 const CRASH_LIMIT = 3;
 /** Number of crashes at which a request on trial is quarantined again. */
 const TRIAL_CRASH_LIMIT = 1;
-/** Time in which all VMs learn that a request near its crash limit was answered, in
+/**
+ * Time in which all VMs learn that a request near its crash limit was answered, in
  * milliseconds: for the response itself, the report to the term holder, which may be
- * delayed by half a second, and the term holder's message to all VMs. */
+ * delayed by half a second, and the term holder's message to all VMs.
+ */
 const RESPONSE_PROPAGATION_TIME = 1_000;
-/** Time after a response in which crashes do not count against its request, in
- * milliseconds; about the time that a registry takes to report a crash. */
+/**
+ * Time after a response in which crashes do not count against its request, in
+ * milliseconds; about the time that a registry takes to report a crash.
+ */
 const RESPONSE_LIFETIME = 5_000;
-/** Duration of a request's first quarantine, in milliseconds; doubles with each trial
+/**
+ * Duration of a request's first quarantine, in milliseconds; doubles with each trial
  * that crashes a server again. For up to this time a request is also still refused after
- * its service was fixed. */
+ * its service was fixed.
+ */
 const INITIAL_QUARANTINE = 120_000;
 /** Maximum duration of a quarantine, in milliseconds. */
 const MAXIMUM_QUARANTINE = 3_600_000;
-/** Time for which the record of a request that is not quarantined is kept after its last
+/**
+ * Time for which the record of a request that is not quarantined is kept after its last
  * crash, in milliseconds. A request whose retries are further apart is never quarantined
- * and crashes a server each time. */
+ * and crashes a server each time.
+ */
 const RECORD_LIFETIME = 600_000;
 
-/** A VM's copy of a {@linkcode CrashRecord}, with state of this VM. Times are
- * milliseconds of its clock. */
+/**
+ * A VM's copy of a {@linkcode CrashRecord}, with state of this VM. Times are
+ * milliseconds of its clock.
+ */
 export interface RequestCrashes {
   request: string;
   target: string;
@@ -90,28 +106,36 @@
   isHeld: boolean;
   /** Revision of the quarantine at which this record last changed. */
   revision: number;
-  /** Address of the VM that sent exactly this state, to which it need not be sent back;
-   * null if there is none. */
+  /**
+   * Address of the VM that sent exactly this state, to which it need not be sent back;
+   * null if there is none.
+   */
   knownAt: string | null;
 }
 
-/** Whether a request has reached its crash limit: the number of crashes at which it is
- * quarantined. */
+/**
+ * Whether a request has reached its crash limit: the number of crashes at which it is
+ * quarantined.
+ */
 export function hasReachedLimit({ round, runs }: RequestCrashes): boolean {
   const limit = round === 0 ? CRASH_LIMIT : TRIAL_CRASH_LIMIT;
   return runs.length >= limit;
 }
 
-/** Whether a request is near its crash limit: one more crash reaches it, or it is
- * reached. A request on trial is near its limit only once it has reached it. */
+/**
+ * Whether a request is near its crash limit: one more crash reaches it, or it is
+ * reached. A request on trial is near its limit only once it has reached it.
+ */
 export function isNearLimit({ round, runs }: RequestCrashes): boolean {
   return runs.length >= (round === 0 ? CRASH_LIMIT - 1 : TRIAL_CRASH_LIMIT);
 }
 
-/** When a request that has reached its crash limit is quarantined, unless it is answered
+/**
+ * When a request that has reached its crash limit is quarantined, unless it is answered
  * before. A harmless request that many callers send at once may be in progress on each
  * server that crashes, while other servers answer it. The delay is long enough for all
- * VMs to learn of such a response. */
+ * VMs to learn of such a response.
+ */
 export function quarantinedFrom({ nearLimitSince }: RequestCrashes): number {
   return nearLimitSince + RESPONSE_PROPAGATION_TIME;
 }
@@ -132,17 +156,21 @@
     (round === 0 ? 0 : quarantineDuration(round - 1));
 }
 
-/** Whether a record is replicated to all VMs: its request is or was quarantined or near
- * its crash limit. A response that any VM receives then clears the request on all VMs. */
+/**
+ * Whether a record is replicated to all VMs: its request is or was quarantined or near
+ * its crash limit. A response that any VM receives then clears the request on all VMs.
+ */
 export function isReplicated(
   { round, runs, excused }: RequestCrashes,
 ): boolean {
   return round > 0 || runs.length + excused.length >= CRASH_LIMIT - 1;
 }
 
-/** Whether a request was answered so recently that crashes do not count against it. A
+/**
+ * Whether a request was answered so recently that crashes do not count against it. A
  * harmless request that many callers send may be in progress on each server that
- * crashes. */
+ * crashes.
+ */
 export function isRecentlyAnswered(
   { answeredAt }: RequestCrashes,
   now: number,
@@ -182,8 +210,10 @@
   left: number;
 }
 
-/** Whether record `a` is evicted before record `b` when there are too many records: those
- * of quarantined requests go last, otherwise the one with the oldest crash goes first. */
+/**
+ * Whether record `a` is evicted before record `b` when there are too many records: those
+ * of quarantined requests go last, otherwise the one with the oldest crash goes first.
+ */
 export function isEvictedBefore(a: RequestCrashes, b: RequestCrashes): boolean {
   if (a.isHeld !== b.isHeld) return b.isHeld;
   return a.lastAt < b.lastAt;
--- a/src/core/quarantine/fingerprint.ts
+++ b/src/core/quarantine/fingerprint.ts
@@ -38,15 +38,19 @@
     return new Fingerprint(parts);
   }
 
-  /** Digest of method, host, path and query, without the body: cheap to compute, and
-   * enough to tell most requests apart. */
+  /**
+   * Digest of method, host, path and query, without the body: cheap to compute, and
+   * enough to tell most requests apart.
+   */
   get head(): string {
     const { method, host, target } = this.parts;
     return this.#head ??= digest([method, host, target].join(SEPARATOR));
   }
 
-  /** Digest of the whole request: {@linkcode head}, followed by the digest of the body
-   * unless the body is empty. */
+  /**
+   * Digest of the whole request: {@linkcode head}, followed by the digest of the body
+   * unless the body is empty.
+   */
   get complete(): string {
     return this.#complete ??= this.#compute();
   }
--- a/src/core/quarantine/permit_issuer.ts
+++ b/src/core/quarantine/permit_issuer.ts
@@ -12,9 +12,11 @@
  */
 import { MAXIMUM_PERMIT, type PermitAnswer } from "./run_permits.ts";
 
-/** Number of consecutive crashes of a request with permits after which no further permit
+/**
+ * Number of consecutive crashes of a request with permits after which no further permit
  * is issued until the last one has expired. By then all VMs know of the crashes and have
- * quarantined the request if it causes them. */
+ * quarantined the request if it causes them.
+ */
 const MAXIMUM_CONSECUTIVE_CRASHES = 2;
 /** Maximum number of issued permits; limits memory. */
 const MAXIMUM_PERMITS = 4_096;
@@ -54,8 +56,10 @@
     this.#activeFrom = Infinity;
   }
 
-  /** Answers the VM at `address`, which requests a permit for `duration` milliseconds.
-   * `request` is the complete fingerprint. */
+  /**
+   * Answers the VM at `address`, which requests a permit for `duration` milliseconds.
+   * `request` is the complete fingerprint.
+   */
   issue(
     request: string,
     address: string,
@@ -80,8 +84,10 @@
     return { isGranted: true, left };
   }
 
-  /** Releases the permit of the VM at `address`. `hasCrashed` states whether the copy
-   * with the permit crashed a server. */
+  /**
+   * Releases the permit of the VM at `address`. `hasCrashed` states whether the copy
+   * with the permit crashed a server.
+   */
   release(request: string, address: string, hasCrashed: boolean): void {
     const issued = this.#issued.get(request);
     if (issued?.address !== address) return;
--- a/src/core/quarantine/quarantine.ts
+++ b/src/core/quarantine/quarantine.ts
@@ -39,8 +39,10 @@
   union,
 } from "./crash_record.ts";
 
-/** Maximum number of records. {@linkcode isEvictedBefore} defines which one is evicted
- * when there are more. */
+/**
+ * Maximum number of records. {@linkcode isEvictedBefore} defines which one is evicted
+ * when there are more.
+ */
 const MAXIMUM_RECORDS = 4_096;
 /** Minimum time between two checks of all records, in milliseconds. */
 const EXPIRY_INTERVAL = 100;
@@ -49,8 +51,10 @@
 
 /** A change of a request's state, for the log. */
 export interface QuarantineChange {
-  /** Whether the request was quarantined (`held`), cleared by a response, or released for
-   * a trial (`tried`). */
+  /**
+   * Whether the request was quarantined (`held`), cleared by a response, or released for
+   * a trial (`tried`).
+   */
   kind: "held" | "cleared" | "tried";
   crashes: RequestCrashes;
 }
@@ -59,8 +63,10 @@
 export class Quarantine {
   /** Records by the request's complete fingerprint. */
   readonly #records = new Map<string, RequestCrashes>();
-  /** Complete fingerprints of the records by their heads. A request whose head is
-   * missing here has no record, so its body need not be hashed to look it up. */
+  /**
+   * Complete fingerprints of the records by their heads. A request whose head is
+   * missing here has no record, so its body need not be hashed to look it up.
+   */
   readonly #byHead = new Map<string, Set<string>>();
   #revision = 0;
   #ownRevision = 0;
@@ -84,8 +90,10 @@
     return this.#revision;
   }
 
-  /** {@linkcode revision} after the last change that this VM observed itself, rather than
-   * received from another VM. */
+  /**
+   * {@linkcode revision} after the last change that this VM observed itself, rather than
+   * received from another VM.
+   */
   get ownRevision(): number {
     return this.#ownRevision;
   }
@@ -95,8 +103,10 @@
     return this.#digest ??= digestOf(this.#replicated());
   }
 
-  /** Records that a server process crashed while it ran a request, which is identified by
-   * its complete fingerprint. Returns whether this crash was not known before. */
+  /**
+   * Records that a server process crashed while it ran a request, which is identified by
+   * its complete fingerprint. Returns whether this crash was not known before.
+   */
   recordCrash(
     request: string,
     target: string,
@@ -159,14 +169,18 @@
       .map((crashes) => holdOf(crashes, now));
   }
 
-  /** Increases when a request gets near its crash limit, is quarantined, or is no longer
-   * near its limit, which changes {@linkcode persistentRecords}. */
+  /**
+   * Increases when a request gets near its crash limit, is quarantined, or is no longer
+   * near its limit, which changes {@linkcode persistentRecords}.
+   */
   get persistentRevision(): number {
     return this.#persistentRevision;
   }
 
-  /** Records of requests that are quarantined or near their crash limit. They are stored
-   * persistently, so that the crashes still count after a failure of all VMs. */
+  /**
+   * Records of requests that are quarantined or near their crash limit. They are stored
+   * persistently, so that the crashes still count after a failure of all VMs.
+   */
   persistentRecords(now: number): CrashRecord[] {
     return this.#replicated().filter((each) => each.isHeld || isNearLimit(each))
       .map((each) => toRecord(each, now));
@@ -179,8 +193,10 @@
     return count;
   }
 
-  /** Records that changed after `revision`, newest first, except those whose current
-   * state the VM at `address` sent itself. At most {@linkcode MAXIMUM_SENT_RECORDS}. */
+  /**
+   * Records that changed after `revision`, newest first, except those whose current
+   * state the VM at `address` sent itself. At most {@linkcode MAXIMUM_SENT_RECORDS}.
+   */
   changesSince(
     revision: number,
     now: number,
@@ -199,9 +215,11 @@
     return this.#replicated().map((each) => toRecord(each, now));
   }
 
-  /** Replicated records and the newest records with a single crash, for a VM that has
+  /**
+   * Replicated records and the newest records with a single crash, for a VM that has
    * just started. It then requests a permit for these requests, of which only one copy
-   * may run at a time. */
+   * may run at a time.
+   */
   startupRecords(now: number): CrashRecord[] {
     const replicated = this.#replicated();
     const others = [...this.#records.values()]
@@ -220,8 +238,10 @@
     for (const record of records) this.#merge(record, now, address);
   }
 
-  /** Checks all records: quarantines requests that have reached their crash limit,
-   * releases quarantined requests for a trial, and removes expired records. */
+  /**
+   * Checks all records: quarantines requests that have reached their crash limit,
+   * releases quarantined requests for a trial, and removes expired records.
+   */
   advance(now: number): void {
     if (now - this.#expiredAt < EXPIRY_INTERVAL) return;
     this.#expiredAt = now;
@@ -307,9 +327,11 @@
     if (crashes.isHeld) this.#excuseOthers(crashes, now);
   }
 
-  /** Stops counting the crashes of a quarantined request against other requests. Requests
+  /**
+   * Stops counting the crashes of a quarantined request against other requests. Requests
    * that have reached their own crash limit are excepted, since they may be the cause as
-   * well. */
+   * well.
+   */
   #excuseOthers(quarantined: RequestCrashes, now: number): void {
     for (const crashes of this.#records.values()) {
       if (hasReachedLimit(crashes)) continue;
--- a/src/core/quarantine/run_permits.ts
+++ b/src/core/quarantine/run_permits.ts
@@ -14,19 +14,25 @@
  */
 import * as z from "zod";
 
-/** Maximum validity of a permit, in milliseconds. A copy that a server runs for longer
- * may still be running when the next copy gets a permit. */
+/**
+ * Maximum validity of a permit, in milliseconds. A copy that a server runs for longer
+ * may still be running when the next copy gets a permit.
+ */
 export const MAXIMUM_PERMIT = 2_000;
 /** Timeout of a permit request, in milliseconds. */
 const ANSWER_TIMEOUT = 250;
-/** Maximum time for which a denial applies, in milliseconds, after which this VM requests
+/**
+ * Maximum time for which a denial applies, in milliseconds, after which this VM requests
  * the permit again. The permit of the other copy may be released long before it
- * expires. */
+ * expires.
+ */
 const MAXIMUM_DENIAL = 200;
 /** Time after a permit request timed out in which it is not repeated, in milliseconds. */
 const TIMEOUT_PAUSE = 500;
-/** Maximum number of requests whose permits are kept. No permits are requested for
- * further ones. */
+/**
+ * Maximum number of requests whose permits are kept. No permits are requested for
+ * further ones.
+ */
 const MAXIMUM_PERMITS = 1_024;
 
 /** Schema of {@linkcode PermitAnswer}. */
@@ -41,16 +47,20 @@
 
 /** Sends permit requests and releases of this VM to the issuer. */
 export interface PermitChannel {
-  /** Requests a permit for a request by its complete fingerprint. Returns the answer if
+  /**
+   * Requests a permit for a request by its complete fingerprint. Returns the answer if
    * it is available at once, or null if it will be passed to
-   * {@linkcode RunPermits.applyAnswer}. */
+   * {@linkcode RunPermits.applyAnswer}.
+   */
   requestPermit(
     request: string,
     duration: number,
     now: number,
   ): PermitAnswer | null;
-  /** Releases a permit before it expires. `hasCrashed` states whether the copy with the
-   * permit crashed a server. */
+  /**
+   * Releases a permit before it expires. `hasCrashed` states whether the copy with the
+   * permit crashed a server.
+   */
   release(request: string, hasCrashed: boolean): void;
 }
 
@@ -83,9 +93,11 @@
     return new RunPermits(channel);
   }
 
-  /** Whether a copy may run for up to `duration` milliseconds; requests a permit if
+  /**
+   * Whether a copy may run for up to `duration` milliseconds; requests a permit if
    * necessary. `request` is the complete fingerprint, and `copy` is the request id of the
-   * copy. */
+   * copy.
+   */
   check(
     request: string,
     copy: string,
@@ -117,8 +129,10 @@
     permit.until = now + (isGranted ? left : Math.min(left, MAXIMUM_DENIAL));
   }
 
-  /** Records the end of a copy, and releases its permit unless the copy may still run on
-   * a server. */
+  /**
+   * Records the end of a copy, and releases its permit unless the copy may still run on
+   * a server.
+   */
   copyEnded(request: string, copy: string, mayStillRun: boolean): void {
     const permit = this.#permits.get(request);
     if (permit?.copy !== copy || permit.state === "denied") return;
@@ -136,8 +150,10 @@
     this.channel.release(request, true);
   }
 
-  /** Returns the permit of a request if it has not expired, or null. A permit request
-   * that has timed out counts as denied for {@linkcode TIMEOUT_PAUSE}. */
+  /**
+   * Returns the permit of a request if it has not expired, or null. A permit request
+   * that has timed out counts as denied for {@linkcode TIMEOUT_PAUSE}.
+   */
   #current(request: string, now: number): Permit | null {
     const permit = this.#permits.get(request);
     if (permit === undefined) return null;
--- a/src/core/rates/rate_share.ts
+++ b/src/core/rates/rate_share.ts
@@ -24,8 +24,10 @@
     return new RateShare(draw);
   }
 
-  /** Whether this VM may send a request to a server now, at one request per `interval`
-   * milliseconds. */
+  /**
+   * Whether this VM may send a request to a server now, at one request per `interval`
+   * milliseconds.
+   */
   maySend(server: string, interval: number, now: number): boolean {
     const known = this.#nextAt.get(server);
     // A time more than an interval ago stems from an earlier rate limit of the server.
--- a/src/core/rates/rate_tokens.ts
+++ b/src/core/rates/rate_tokens.ts
@@ -21,14 +21,20 @@
 
 /** Timeout of a token request, in milliseconds. */
 const ANSWER_TIMEOUT = 250;
-/** Time for which a VM uses its share after a token request timed out, in
- * milliseconds. */
+/**
+ * Time for which a VM uses its share after a token request timed out, in
+ * milliseconds.
+ */
 const SHARE_DURATION = 1_000;
-/** Time for which a granted token is valid, in milliseconds. Another request may use it
- * if the one that needed it has ended. */
+/**
+ * Time for which a granted token is valid, in milliseconds. Another request may use it
+ * if the one that needed it has ended.
+ */
 const TOKEN_LIFETIME = 1_000;
-/** Longest time for which a denial applies, in milliseconds, since the limit may change
- * in the meantime. */
+/**
+ * Longest time for which a denial applies, in milliseconds, since the limit may change
+ * in the meantime.
+ */
 const MAXIMUM_DENIAL = 500;
 /** Number of VMs that are assumed to share a server while the actual number is unknown. */
 const ASSUMED_VM_COUNT = 64;
@@ -39,10 +45,12 @@
 
 /** Sends token requests of this VM to the term holder. */
 export interface TokenChannel {
-  /** Requests a token for a server. Returns the answer if it is available at once, null
+  /**
+   * Requests a token for a server. Returns the answer if it is available at once, null
    * if it will be passed to {@linkcode RateTokens.applyAnswer}, or "unreachable" if no
    * token can be requested, for example without a known term holder. `isUrgent` permits
-   * the use of the reserved token. */
+   * the use of the reserved token.
+   */
   requestToken(
     server: TrackedServer,
     isUrgent: boolean,
@@ -80,9 +88,11 @@
     this.#share = RateShare.create(draw);
   }
 
-  /** Starts without tokens. They are requested over `channel`; while the term holder does
+  /**
+   * Starts without tokens. They are requested over `channel`; while the term holder does
    * not answer, the rate is divided among `vmCount` VMs (null when unknown). `draw`
-   * returns random numbers in [0, 1). */
+   * returns random numbers in [0, 1).
+   */
   static create(
     channel: TokenChannel,
     vmCount: () => number | null,
@@ -106,9 +116,11 @@
       this.#share.maySend(server.id, this.#interval(limit), now);
   }
 
-  /** Whether a token for a server should be requested: the server has a rate limit, and
+  /**
+   * Whether a token for a server should be requested: the server has a rate limit, and
    * no token is granted, requested or denied. For an urgent request, the denial of a
-   * token for a less urgent one does not count. */
+   * token for a less urgent one does not count.
+   */
   mayRequest(server: TrackedServer, isUrgent: boolean, now: number): boolean {
     if (!this.isLimited(server, now)) return false;
     const state = this.#current(server.id, now);
@@ -123,8 +135,10 @@
     return state.kind === "denied" ? state.until : -Infinity;
   }
 
-  /** Whether a request may be sent to a server now; requests a token if necessary.
-   * `isUrgent` permits the use of the reserved token. */
+  /**
+   * Whether a request may be sent to a server now; requests a token if necessary.
+   * `isUrgent` permits the use of the reserved token.
+   */
   check(server: TrackedServer, isUrgent: boolean, now: number): Admission {
     const limit = server.rateLimit.current(now);
     if (limit === null) {
@@ -182,8 +196,10 @@
     );
   }
 
-  /** Returns the state of a server, in which expired tokens and denials no longer count
-   * and a token request that timed out has led to the use of the share. */
+  /**
+   * Returns the state of a server, in which expired tokens and denials no longer count
+   * and a token request that timed out has led to the use of the share.
+   */
   #current(server: string, now: number): TokenState {
     const state = this.#states.get(server);
     if (state === undefined) return { kind: "none" };
--- a/src/core/rates/token_bucket.ts
+++ b/src/core/rates/token_bucket.ts
@@ -9,8 +9,10 @@
  */
 import * as z from "zod";
 
-/** Time for which unused tokens accumulate, in milliseconds. The burst absorbs random
- * variation of arrivals, which would otherwise cause both idle time and refusals. */
+/**
+ * Time for which unused tokens accumulate, in milliseconds. The burst absorbs random
+ * variation of arrivals, which would otherwise cause both idle time and refusals.
+ */
 const BURST_TIME = 500;
 /** Minimum number of unreserved tokens in a full bucket. */
 const MINIMUM_BURST = 2;
@@ -33,8 +35,10 @@
 
 /** See the module's comment. Times are milliseconds of this VM's clock. */
 export class TokenBuckets {
-  /** Time at which a server's bucket is full again if no token is taken, by the server's
-   * id. */
+  /**
+   * Time at which a server's bucket is full again if no token is taken, by the server's
+   * id.
+   */
   readonly #buckets = new Map<string, number>();
   /** Time at which all buckets were empty; -Infinity if they started full. */
   #termStartedAt = -Infinity;
@@ -46,15 +50,19 @@
     return new TokenBuckets();
   }
 
-  /** Empties all buckets when this VM becomes the term holder, since the tokens that the
-   * previous term holder granted are unknown. */
+  /**
+   * Empties all buckets when this VM becomes the term holder, since the tokens that the
+   * previous term holder granted are unknown.
+   */
   reset(now: number): void {
     this.#buckets.clear();
     this.#termStartedAt = now;
   }
 
-  /** Takes a token for a server with a limit of `requestsPerSecond`, if one is available.
-   * `isUrgent` permits the use of the reserved token. */
+  /**
+   * Takes a token for a server with a limit of `requestsPerSecond`, if one is available.
+   * `isUrgent` permits the use of the reserved token.
+   */
   take(
     server: string,
     requestsPerSecond: number,
--- a/src/core/rates/token_bucket_test.ts
+++ b/src/core/rates/token_bucket_test.ts
@@ -2,8 +2,10 @@
 import fc from "fast-check";
 import { TokenBuckets } from "./token_bucket.ts";
 
-/** Maximum number of tokens in a burst at the rates tested here, without the reserved
- * token. */
+/**
+ * Maximum number of tokens in a burst at the rates tested here, without the reserved
+ * token.
+ */
 const MAXIMUM_BURST = 4;
 
 test("token bucket: a full bucket grants a burst, then one token per interval", (t) => {
--- a/src/core/registry/registry_replica.ts
+++ b/src/core/registry/registry_replica.ts
@@ -27,8 +27,10 @@
 
 /** Pause after a failed read, in milliseconds. */
 const RETRY_PAUSE = 250;
-/** Maximum number of versions that are kept to compute updates: half a minute of the term
- * holder's reads. A follower that is further behind reads the registry itself. */
+/**
+ * Maximum number of versions that are kept to compute updates: half a minute of the term
+ * holder's reads. A follower that is further behind reads the registry itself.
+ */
 const MAXIMUM_VERSIONS = 64;
 
 const NO_CHANGES: RegistryChanges = {
@@ -40,9 +42,11 @@
 /** A position that this replica has had, with the changes since the previous version. */
 interface Version {
   position: number;
-  /** Ids of servers whose entry was written since the previous version, even if it is the
+  /**
+   * Ids of servers whose entry was written since the previous version, even if it is the
    * same again: a VM at a position in between may have read a different entry. Null if
-   * these servers are not known. */
+   * these servers are not known.
+   */
   written: readonly string[] | null;
   /** Ids of servers whose entry differs from the previous version. */
   changed: readonly string[];
@@ -58,8 +62,10 @@
   unreadable: string[];
 }
 
-/** This VM's replica; see the module's comment. Times are milliseconds of this VM's
- * clock. */
+/**
+ * This VM's replica; see the module's comment. Times are milliseconds of this VM's
+ * clock.
+ */
 export class RegistryReplica {
   #position: number | null = null;
   #knownAt = -Infinity;
@@ -80,8 +86,10 @@
     return new RegistryReplica();
   }
 
-  /** Position of the replica in the registry, or null if the next read has to be
-   * complete, as before the first one. */
+  /**
+   * Position of the replica in the registry, or null if the next read has to be
+   * complete, as before the first one.
+   */
   get position(): number | null {
     return this.#position;
   }
@@ -96,15 +104,19 @@
     return this.#servers.has(id);
   }
 
-  /** Returns the position at which a server's listed incarnation was first known; 0 if
+  /**
+   * Returns the position at which a server's listed incarnation was first known; 0 if
    * the server is not listed. A report on the server from a VM at an older position may
-   * be about another incarnation. */
+   * be about another incarnation.
+   */
   incarnationSince(id: string): number {
     return this.#incarnationSince.get(id) ?? 0;
   }
 
-  /** Returns when the next read is due if the replica may be `maximumAge` milliseconds
-   * old; Infinity while one is in flight. */
+  /**
+   * Returns when the next read is due if the replica may be `maximumAge` milliseconds
+   * old; Infinity while one is in flight.
+   */
   dueAt(maximumAge: number): number {
     if (this.#isReading) return Infinity;
     return Math.max(this.#knownAt + maximumAge, this.#retryAt);
@@ -117,8 +129,10 @@
     return { kind: "servers.fetch", from: this.#position };
   }
 
-  /** Applies the result of a read that was requested at `sentAt`. Returns false if it is
-   * older than the replica because an update has arrived in the meantime. */
+  /**
+   * Applies the result of a read that was requested at `sentAt`. Returns false if it is
+   * older than the replica because an update has arrived in the meantime.
+   */
   applyRead(read: RegistryRead, sentAt: number): boolean {
     this.#isReading = false;
     this.#knownAt = Math.max(this.#knownAt, sentAt);
@@ -133,16 +147,20 @@
     return true;
   }
 
-  /** Records a failed read. `isExpired` tells whether the store no longer keeps the
-   * changes since the replica's position, so that the next read has to be complete. */
+  /**
+   * Records a failed read. `isExpired` tells whether the store no longer keeps the
+   * changes since the replica's position, so that the next read has to be complete.
+   */
   failed(isExpired: boolean, now: number): void {
     this.#isReading = false;
     this.#retryAt = now + RETRY_PAUSE;
     if (isExpired) this.#position = null;
   }
 
-  /** Applies an update and returns its changes, or null if it starts after the replica's
-   * position and cannot be applied. */
+  /**
+   * Applies an update and returns its changes, or null if it starts after the replica's
+   * position and cannot be applied.
+   */
   applyUpdate(update: RegistryUpdate): RegistryChanges | null {
     if (this.#position === null || update.since > this.#position) return null;
     if (update.knownAt !== null) {
@@ -240,8 +258,10 @@
     return this.#servers.delete(id) || wasUnreadable;
   }
 
-  /** Marks a listed server's entry as unreadable and returns whether it was listed. Ids
-   * that are not listed are ignored, so that any number of them cannot exhaust memory. */
+  /**
+   * Marks a listed server's entry as unreadable and returns whether it was listed. Ids
+   * that are not listed are ignored, so that any number of them cannot exhaust memory.
+   */
   #markUnreadable(id: string): boolean {
     if (!this.#servers.delete(id)) return false;
     this.#incarnationSince.delete(id);
@@ -250,9 +270,11 @@
   }
 }
 
-/** Whether entry `b` need not be sent to a VM that has the previous entry `a`. The
+/**
+ * Whether entry `b` need not be sent to a VM that has the previous entry `a`. The
  * remaining warm-up time decreases with every heartbeat and is sent only once. If it
- * increases, the server has become cold again. */
+ * increases, the server has become cold again.
+ */
 function isEquivalent(a: BackendServer, b: BackendServer): boolean {
   return b.warmUp <= a.warmUp &&
     a.incarnation === b.incarnation && a.service === b.service &&
--- a/src/core/registry/registry_update.ts
+++ b/src/core/registry/registry_update.ts
@@ -13,8 +13,10 @@
 export const registryUpdateSchema = z.object({
   /** Position after which the changes begin. */
   since: position,
-  /** Position of the registry after the changes. All changes between the two positions
-   * are included. */
+  /**
+   * Position of the registry after the changes. All changes between the two positions
+   * are included.
+   */
   position,
   /** New and changed entries. */
   entries: z.array(backendServerSchema),
@@ -22,8 +24,10 @@
   removed: z.array(z.string()),
   /** Ids of servers whose entry became unreadable. */
   unreadable: z.array(z.string()).default([]),
-  /** Latest time at which the registry is known to be at `position`, in milliseconds of
-   * the receiver's clock; null if the receiver did not request the changes. */
+  /**
+   * Latest time at which the registry is known to be at `position`, in milliseconds of
+   * the receiver's clock; null if the receiver did not request the changes.
+   */
   knownAt: z.number().nullable(),
 });
 
--- a/src/core/shutdown.ts
+++ b/src/core/shutdown.ts
@@ -8,14 +8,18 @@
 import type { EntryEffect } from "./entry_effect.ts";
 import type { ShutdownTiming } from "./entry_options.ts";
 
-/** Share of {@linkcode ShutdownTiming.closeAfter} after which new requests are refused. A
+/**
+ * Share of {@linkcode ShutdownTiming.closeAfter} after which new requests are refused. A
  * long request accepted later could be cut off by the forced stop, which callers tolerate
  * only for requests of the first 3 s of the shutdown. By this time the load balancer
- * routes to other VMs. */
+ * routes to other VMs.
+ */
 const REFUSAL_SHARE = 0.8;
 
-/** Time before the forced stop at which all pending requests are ended with a response,
- * in milliseconds: the responses still have to reach their callers. */
+/**
+ * Time before the forced stop at which all pending requests are ended with a response,
+ * in milliseconds: the responses still have to reach their callers.
+ */
 const FINAL_RESPONSE_TIME = 250;
 
 /** See the module's comment. */
@@ -44,15 +48,19 @@
     return now - this.#startedAt >= this.timing.closeAfter * REFUSAL_SHARE;
   }
 
-  /** Whether the forced stop is imminent. A request that is still pending then would be
-   * cut off with its connection, and so would all responses queued behind it. */
+  /**
+   * Whether the forced stop is imminent. A request that is still pending then would be
+   * cut off with its connection, and so would all responses queued behind it.
+   */
   isStopImminent(now: number): boolean {
     if (this.#startedAt === null) return false;
     return now - this.#startedAt >= this.timing.stopAfter - FINAL_RESPONSE_TIME;
   }
 
-  /** Starts the shutdown. All its times count from `requestedAt`, however late a busy
-   * process handles the request. Returns false if it was started before. */
+  /**
+   * Starts the shutdown. All its times count from `requestedAt`, however late a busy
+   * process handles the request. Returns false if it was started before.
+   */
   start(requestedAt: number): boolean {
     if (this.#startedAt !== null) return false;
     this.#startedAt = requestedAt;
--- a/src/core/shutdown_pending_request_test.ts
+++ b/src/core/shutdown_pending_request_test.ts
@@ -11,8 +11,10 @@
 import { createSteppedEntry } from "../../test/support/stepped_entry.ts";
 import type { BackendServer } from "./fleet/index.ts";
 
-/** Target latency of the route, in milliseconds. A request waits for a server for up to
- * 0.6 of it, which is longer than the shutdown takes. */
+/**
+ * Target latency of the route, in milliseconds. A request waits for a server for up to
+ * 0.6 of it, which is longer than the shutdown takes.
+ */
 const TARGET_LATENCY = 12_000;
 const LIMITS = {
   maximumHeaderBytes: 1,
@@ -21,8 +23,10 @@
   idleTimeout: 1,
 };
 
-/** Creates a process with a keyed service whose keys all belong to `server`, or to no
- * server if null. */
+/**
+ * Creates a process with a keyed service whose keys all belong to `server`, or to no
+ * server if null.
+ */
 function createEntry(server: BackendServer | null = null) {
   const { step } = createSteppedEntry();
   step(0, {
--- a/src/core/store_health.ts
+++ b/src/core/store_health.ts
@@ -12,12 +12,16 @@
  */
 import { MEMBERSHIP_STEP } from "./entry_event.ts";
 
-/** Time without an answer after which the store counts as lost, that is, as unreachable,
+/**
+ * Time without an answer after which the store counts as lost, that is, as unreachable,
  * in milliseconds. Several calls are made each second, so several answers are missing by
- * then. */
+ * then.
+ */
 const LOST_AFTER = 1_500;
-/** Time for which no billed call is made after one has failed, in milliseconds. Rejected
- * calls are billed too, and an outage lasts seconds. */
+/**
+ * Time for which no billed call is made after one has failed, in milliseconds. Rejected
+ * calls are billed too, and an outage lasts seconds.
+ */
 const RETRY_DELAY = 2_000;
 
 /** See the module's comment. Times are milliseconds of this VM's monotonic clock. */
@@ -47,9 +51,11 @@
     return now - this.#answeredAt;
   }
 
-  /** Records the answer to a call that was sent at `sentAt`. Returns whether the store
+  /**
+   * Records the answer to a call that was sent at `sentAt`. Returns whether the store
    * was lost until now. An answer that took longer than the timeout does not show that
-   * the store is reachable. */
+   * the store is reachable.
+   */
   answered(sentAt: number, now: number): boolean {
     this.#answeredAt = Math.max(this.#answeredAt, sentAt);
     if (now - sentAt > LOST_AFTER) return false;
@@ -60,9 +66,11 @@
     return wasLost;
   }
 
-  /** Records that the VM that sends this VM the store's updates reached the store at `at`:
+  /**
+   * Records that the VM that sends this VM the store's updates reached the store at `at`:
    * this VM is up to date even if its own calls are not answered. Returns whether the
-   * store was lost until now. */
+   * store was lost until now.
+   */
   confirmedByPeer(at: number, now: number): boolean {
     this.#answeredAt = Math.max(this.#answeredAt, at);
     if (!this.#isLost || now - at > LOST_AFTER) return false;
@@ -70,8 +78,10 @@
     return true;
   }
 
-  /** Records a failed call. Returns whether it is the first failure of its step since
-   * the store last answered. */
+  /**
+   * Records a failed call. Returns whether it is the first failure of its step since
+   * the store last answered.
+   */
   failed(step: string, now: number): boolean {
     if (step !== MEMBERSHIP_STEP) this.#failedAt = now;
     if (this.#failingSteps.has(step)) return false;
--- a/src/core/store_update_follower_test.ts
+++ b/src/core/store_update_follower_test.ts
@@ -88,8 +88,10 @@
       );
     }
   };
-  /** Summarizes the effects since the last call: when following of the feeds was switched
-   * on or off, and the numbers of membership calls and of state requests. */
+  /**
+   * Summarizes the effects since the last call: when following of the feeds was switched
+   * on or off, and the numbers of membership calls and of state requests.
+   */
   const takeEffects = () => {
     const all = effects.splice(0);
     return {
--- a/src/load/history.ts
+++ b/src/load/history.ts
@@ -26,8 +26,10 @@
   endedAt: z.number(),
   /** HTTP status of the response; 0 when the connection failed. */
   status: z.number(),
-  /** `not-run` if the request certainly has not run, `unknown` if it may have; null
-   * for status 200. */
+  /**
+   * `not-run` if the request certainly has not run, `unknown` if it may have; null
+   * for status 200.
+   */
   outcome: z.enum(["not-run", "unknown"]).nullable(),
   /** Whether the response was complete and for this request; null if not checked. */
   matched: z.boolean().nullable(),
--- a/src/load/load_generator.ts
+++ b/src/load/load_generator.ts
@@ -15,8 +15,10 @@
 
 /** Parameters of a load. */
 export interface LoadPlan {
-  /** Addresses of entry processes as `host:port`. Each caller uses the same one while
-   * it is ready. */
+  /**
+   * Addresses of entry processes as `host:port`. Each caller uses the same one while
+   * it is ready.
+   */
   targets: string[];
   service: string;
   /** Encodes the callers' headers. */
--- a/src/logging/logger.ts
+++ b/src/logging/logger.ts
@@ -25,8 +25,10 @@
     private readonly vm: string,
   ) {}
 
-  /** Creates a logger for the VM `vm` that writes lines of `level` and above to
-   * `output`. */
+  /**
+   * Creates a logger for the VM `vm` that writes lines of `level` and above to
+   * `output`.
+   */
   static create(vm: string, level: LogLevel, output: Writable): Logger {
     const transport = BatchedTransport.create(output);
     const jsonFormat = winston.format((info) => {
--- a/src/settings/entry_settings.ts
+++ b/src/settings/entry_settings.ts
@@ -20,15 +20,19 @@
   readiness: addressSchema,
   /** Address that the other entry processes connect to. */
   peer: addressSchema,
-  /** Peer addresses to contact while the store is unreachable. Some may be out of
-   * date. */
+  /**
+   * Peer addresses to contact while the store is unreachable. Some may be out of
+   * date.
+   */
   seeds: z.array(addressSchema).default([]),
   /** Address that serves metrics and status to operators. */
   admin: addressSchema,
   store: z.object({
     address: addressSchema,
-    /** Time without a renewal after which the store removes a member from its
-     * group; the longer of this and `minimumTimeToLive` is used. */
+    /**
+     * Time without a renewal after which the store removes a member from its
+     * group; the longer of this and `minimumTimeToLive` is used.
+     */
     memberTimeToLive: z.number().int().positive().default(1_300),
     /** Shortest time to live that the store accepts. */
     minimumTimeToLive: z.number().int().nonnegative().default(0),
@@ -43,8 +47,10 @@
   }).prefault({}),
   leases: leaseTimingSchema.prefault({}),
   retries: retryLimitsSchema.prefault({}),
-  /** Maximum time from the start of the draining of a server until it receives no new
-   * requests. */
+  /**
+   * Maximum time from the start of the draining of a server until it receives no new
+   * requests.
+   */
   drainTime: z.number().positive().default(2_000),
   /** Time from a shutdown request until the process is terminated forcibly. */
   shutdownTimeoutSeconds: z.number().positive().default(6),
--- a/src/stand_ins/backend_service.ts
+++ b/src/stand_ins/backend_service.ts
@@ -28,8 +28,10 @@
   service: z.string().min(1),
   availabilityZone: z.string().default("a"),
   listen: addressSchema,
-  /** Address under which it registers itself, if it differs from the one at which it
-   * listens, for example behind a proxy. */
+  /**
+   * Address under which it registers itself, if it differs from the one at which it
+   * listens, for example behind a proxy.
+   */
   advertised: addressSchema.optional(),
   /** Address of the store. */
   store: addressSchema,
@@ -37,14 +39,18 @@
   slots: z.number().int().positive().default(3),
   /** Maximum requests that wait for a slot; further ones are refused. */
   queue: z.number().int().nonnegative().default(12),
-  /** Whether it resets the connection when the queue is full, instead of refusing the
-   * request. */
+  /**
+   * Whether it resets the connection when the queue is full, instead of refusing the
+   * request.
+   */
   resetsWhenFull: z.boolean().default(false),
   /** Processing time of a request. */
   work: z.number().nonnegative().default(1),
   heartbeatInterval: z.number().positive().default(870),
-  /** Path with query whose requests crash the process after they ran: no response is
-   * sent, and all connections are reset. None if absent. */
+  /**
+   * Path with query whose requests crash the process after they ran: no response is
+   * sent, and all connections are reset. None if absent.
+   */
   endedBy: z.string().optional(),
   /** File to which each run is appended when it starts; none if absent. */
   runsFile: z.string().optional(),
@@ -65,16 +71,20 @@
   draining: z.boolean().default(false),
   /** Processing time of a request; null for the one in the settings. */
   work: z.number().nonnegative().nullable().default(null),
-  /** Rate limit that it reports but does not enforce, in requests per second from all
-   * VMs combined; null for none. */
+  /**
+   * Rate limit that it reports but does not enforce, in requests per second from all
+   * VMs combined; null for none.
+   */
   rateLimit: z.string().nullable().default(null),
 });
 
 /** See {@linkcode backendFaultsSchema}. */
 export type BackendFaults = z.infer<typeof backendFaultsSchema>;
 
-/** A grant order. `from` and `target` are the first and last key; `holdTime` is the
- * duration of the lease in milliseconds. */
+/**
+ * A grant order. `from` and `target` are the first and last key; `holdTime` is the
+ * duration of the lease in milliseconds.
+ */
 const grantSchema = z.object({
   from: z.number(),
   target: z.number(),
--- a/src/stand_ins/stand_in.ts
+++ b/src/stand_ins/stand_in.ts
@@ -44,8 +44,10 @@
     response: ServerResponse,
   ): Promise<void>;
 
-  /** Sets the maximum number of connections, and the time in milliseconds for which
-   * idle ones are kept. */
+  /**
+   * Sets the maximum number of connections, and the time in milliseconds for which
+   * idle ones are kept.
+   */
   protected limitConnections(connections: number, keepAlive: number): void {
     this.#server.maxConnections = connections;
     this.#server.keepAliveTimeout = keepAlive;
--- a/src/stand_ins/wire.ts
+++ b/src/stand_ins/wire.ts
@@ -23,8 +23,10 @@
 /** Topic in which backend servers register themselves. */
 export const REGISTRY_TOPIC = "keyed.servers";
 
-/** Encodes a record of a keyed topic: a four-byte big-endian length, a one-byte key
- * length, the key and the value. */
+/**
+ * Encodes a record of a keyed topic: a four-byte big-endian length, a one-byte key
+ * length, the key and the value.
+ */
 export function frameRecord(key: string, value: string): Buffer {
   const keyBytes = Buffer.from(key);
   const content = Buffer.concat([
--- a/src/stand_ins/work_queue.ts
+++ b/src/stand_ins/work_queue.ts
@@ -35,8 +35,10 @@
     return this.#waiting.length;
   }
 
-  /** Resolves to true when a slot has been acquired, or to false if the queue is full
-   * and the request must be refused. */
+  /**
+   * Resolves to true when a slot has been acquired, or to false if the queue is full
+   * and the request must be refused.
+   */
   acquire(): Promise<boolean> {
     if (this.#running < this.slots) {
       this.#running += 1;
--- a/test/crashing_request_test.ts
+++ b/test/crashing_request_test.ts
@@ -21,8 +21,10 @@
   HOST,
 } from "./support/deployment.ts";
 
-/** Maximum number of runs that start after all VMs have received the crash record of the
- * last allowed crash. */
+/**
+ * Maximum number of runs that start after all VMs have received the crash record of the
+ * last allowed crash.
+ */
 const MAXIMUM_LATE_RUNS = 3;
 /** Number of crashes after which the request is quarantined. */
 const ALLOWED_CRASHES = 3;
--- a/test/other_writers_test.ts
+++ b/test/other_writers_test.ts
@@ -24,8 +24,10 @@
  * interval of the stand-ins, so that nearly every read returns the invalid entry.
  */
 const WRITE_INTERVAL = 30;
-/** Time between the starts of two rounds, in milliseconds. Servers repair their entries
- * at the end of each. */
+/**
+ * Time between the starts of two rounds, in milliseconds. Servers repair their entries
+ * at the end of each.
+ */
 const ROUND_DURATION = WRITE_DURATION + 1_500;
 
 const INVALID_VALUES = [
--- a/test/ownership/crashing_request_test.ts
+++ b/test/ownership/crashing_request_test.ts
@@ -18,13 +18,17 @@
 
 /** Number of servers that a request may crash before it is quarantined. */
 const ALLOWED_CRASHES = 3;
-/** Time allowed for VMs to learn of the last of these crashes, in milliseconds. Runs that
- * start later are counted as late. */
+/**
+ * Time allowed for VMs to learn of the last of these crashes, in milliseconds. Runs that
+ * start later are counted as late.
+ */
 const PROPAGATION_TIME = 3_000;
 /** Maximum number of late runs. */
 const ALLOWED_RUNS = 3;
-/** Minimum share of the other requests that are served once the request is quarantined:
- * all but those on the few servers that still crash. */
+/**
+ * Minimum share of the other requests that are served once the request is quarantined:
+ * all but those on the few servers that still crash.
+ */
 const SERVED_SHARE = 0.99;
 
 const FROM = 10_000;
@@ -114,16 +118,20 @@
   });
 }
 
-/** Counts the runs that start more than {@linkcode PROPAGATION_TIME} after the third run.
- * One server may have crashed during several of the first three runs. */
+/**
+ * Counts the runs that start more than {@linkcode PROPAGATION_TIME} after the third run.
+ * One server may have crashed during several of the first three runs.
+ */
 function runsAfterThird({ load }: SimulationReport): number {
   const { crashingRuns } = load!;
   const third = crashingRuns[ALLOWED_CRASHES - 1]?.at ?? Infinity;
   return crashingRuns.filter(({ at }) => at > third + PROPAGATION_TIME).length;
 }
 
-/** Copies arrive at all VMs at the same time: those that wait while their key has no
- * server are all sent to its next server at once. */
+/**
+ * Copies arrive at all VMs at the same time: those that wait while their key has no
+ * server are all sent to its next server at once.
+ */
 const COPIES: CrashingRequest = { ...CRASHING_REQUEST, copies: 6 };
 
 for (const [name, load] of REQUEST_KINDS) {
@@ -203,8 +211,10 @@
   }
 });
 
-/** Number of servers. While the store is down, VMs do not learn of servers that return,
- * so there must be enough for all repeats. */
+/**
+ * Number of servers. While the store is down, VMs do not learn of servers that return,
+ * so there must be enough for all repeats.
+ */
 const MANY_SERVERS = 24;
 const SLOW_REPEATS: CrashingRequest = { ...CRASHING_REQUEST, interval: 1_000 };
 
@@ -229,8 +239,10 @@
 /** Maximum share of harmless requests that may be quarantined. */
 const MAXIMUM_FALSE_SHARE = 0.001;
 
-/** Crashes that no request causes: of one server after the other, every `interval`
- * milliseconds. */
+/**
+ * Crashes that no request causes: of one server after the other, every `interval`
+ * milliseconds.
+ */
 function serverCrashes(interval: number, servers: number): Fault[] {
   const count = Math.floor((UNTIL - FROM) / interval);
   return Array.from({ length: count }, (_, i) => ({
@@ -300,13 +312,17 @@
   });
 }
 
-/** Time after a fault for which a VM may still lack crash records, including the time
- * that its process takes to restart, in milliseconds. */
+/**
+ * Time after a fault for which a VM may still lack crash records, including the time
+ * that its process takes to restart, in milliseconds.
+ */
 const CATCH_UP_TIME = 4_500;
 const SCHEDULES = 40;
 
-/** Simulates a schedule. Returns the number of late runs sent by VMs without a fault, the
- * number of other requests that were quarantined, and the violations. */
+/**
+ * Simulates a schedule. Returns the number of late runs sent by VMs without a fault, the
+ * number of other requests that were quarantined, and the violations.
+ */
 function simulateSchedule(schedule: CrashSchedule) {
   const { vms, faults, seed, isKeyed, isIdempotent, interval } = schedule;
   const report = simulate({
--- a/test/ownership/evacuation_test.ts
+++ b/test/ownership/evacuation_test.ts
@@ -7,11 +7,15 @@
 import type { LoadOptions } from "./request_load.ts";
 import { type Fault, Simulation, type SimulationReport } from "./simulation.ts";
 
-/** Time after the operators' request from which no request may be sent to the zone, in
- * milliseconds. */
+/**
+ * Time after the operators' request from which no request may be sent to the zone, in
+ * milliseconds.
+ */
 const EVACUATION_TIME = 5_000;
-/** Maximum time until all VMs know of an evacuation while the store is available, in
- * milliseconds. */
+/**
+ * Maximum time until all VMs know of an evacuation while the store is available, in
+ * milliseconds.
+ */
 const PROPAGATION_TIME = 1_000;
 /** Minimum share of the requests that are served while the keys move and later. */
 const SERVED_SHARE = 0.97;
@@ -58,8 +62,10 @@
   });
 }
 
-/** Returns the share of the requests sent during the evacuation and later that were
- * served. */
+/**
+ * Returns the share of the requests sent during the evacuation and later that were
+ * served.
+ */
 function servedShare({ load }: SimulationReport): number {
   const results = load!.results.filter(({ startedAt }) => startedAt >= FROM);
   const served = results.filter(({ name }) =>
--- a/test/ownership/model_server.ts
+++ b/test/ownership/model_server.ts
@@ -9,8 +9,10 @@
   ReleaseOrder,
 } from "../../src/core/keyspace/index.ts";
 
-/** Real time in which the server's clock advances by one. The clock is as slow as its
- * specification permits. */
+/**
+ * Real time in which the server's clock advances by one. The clock is as slow as its
+ * specification permits.
+ */
 const CLOCK_DRIFT = 1.02;
 
 /** A range of keys with the token that it was granted with. */
@@ -57,8 +59,10 @@
     );
   }
 
-  /** Executes a grant that arrived at `arrivedAt`, at time `now`. Existing leases that
-   * expire later than the new one stay in effect. */
+  /**
+   * Executes a grant that arrived at `arrivedAt`, at time `now`. Existing leases that
+   * expire later than the new one stay in effect.
+   */
   grant(order: GrantOrder, arrivedAt: number, now: number): KeyLease {
     this.#receivedOrders.push(order);
     const { first, last, token } = order;
--- a/test/ownership/model_store.ts
+++ b/test/ownership/model_store.ts
@@ -47,10 +47,12 @@
     };
   }
 
-  /** Claims a term if the log still ends at `expectedEnd`. All VMs append as the same
+  /**
+   * Claims a term if the log still ends at `expectedEnd`. All VMs append as the same
    * producer, so the store treats a claim with the same term and sequence number as a
    * retry, even if another VM sent it. It then returns the first result again and does
-   * not check the condition. */
+   * not check the condition.
+   */
   claim(term: number, expectedEnd: number, sequence: number): WriteResult {
     if (this.#isRepeat(term, sequence)) return "done";
     if (expectedEnd !== this.end || term <= this.#epoch) return "superseded";
@@ -78,8 +80,10 @@
     return "done";
   }
 
-  /** Joins the group or renews the membership. Members that have not done so within
-   * `timeToLive` are removed. */
+  /**
+   * Joins the group or renews the membership. Members that have not done so within
+   * `timeToLive` are removed.
+   */
   join(id: string, now: number, timeToLive: number) {
     for (const member of this.#members.values()) {
       if (now - member.joinedAt > timeToLive) this.#remove(member.id);
--- a/test/ownership/overload_test.ts
+++ b/test/ownership/overload_test.ts
@@ -12,8 +12,10 @@
 
 const BUSY_KEY = 30_000;
 const BUSY_FROM = 12_000;
-/** Time from which all VMs know of the overload: they have sent their reports to the term
- * holder, which has evaluated and answered them. */
+/**
+ * Time from which all VMs know of the overload: they have sent their reports to the term
+ * holder, which has evaluated and answered them.
+ */
 const KNOWN_FROM = BUSY_FROM + 1_500;
 /** Time by which the server has run the requests that had filled its queue. */
 const SETTLED_FROM = BUSY_FROM + 4_000;
--- a/test/ownership/ownership_test.ts
+++ b/test/ownership/ownership_test.ts
@@ -12,8 +12,10 @@
 
 const SEED = 7;
 
-/** Load concentrated on a narrow interval of keys, which splits the keys into several
- * ranges per server. */
+/**
+ * Load concentrated on a narrow interval of keys, which splits the keys into several
+ * ranges per server.
+ */
 const SKEWED_LOAD: LoadOptions = {
   from: 4_000,
   until: 14_000,
@@ -28,8 +30,10 @@
     Math.floor(draw() < 0.6 ? 30_000 + 2_000 * draw() : 65_536 * draw()),
 };
 
-/** Simulates `runs` schedules of `arbitrary` with the options in `mutation`; returns the
- * first violation, or null. */
+/**
+ * Simulates `runs` schedules of `arbitrary` with the options in `mutation`; returns the
+ * first violation, or null.
+ */
 function findViolation(
   arbitrary: fc.Arbitrary<SimulationOptions>,
   runs: number,
--- a/test/ownership/rate_limit_test.ts
+++ b/test/ownership/rate_limit_test.ts
@@ -21,8 +21,10 @@
 /** Time allowed for VMs to detect the end of a limit, in milliseconds. */
 const RECOVERY_TIME = 3_000;
 const SERVERS = 8;
-/** Time allowed for keys to move away from a server once VMs apply its limit, in
- * milliseconds. */
+/**
+ * Time allowed for keys to move away from a server once VMs apply its limit, in
+ * milliseconds.
+ */
 const MOVE_TIME = 2_000;
 
 /** Returns the maximum number of requests per window that the specification permits. */
@@ -30,8 +32,10 @@
   return 1.5 * requestsPerSecond * WINDOW / 1_000 + 5;
 }
 
-/** Returns the maximum number of requests that one server received in a window, from VMs
- * that must apply the limit by then. */
+/**
+ * Returns the maximum number of requests that one server received in a window, from VMs
+ * that must apply the limit by then.
+ */
 function mostInWindow(arrivals: readonly LimitedArrival[]): number {
   const from = FROM + PROPAGATION_TIME;
   const counted = arrivals.filter(({ at, isLimitKnown }) =>
@@ -45,8 +49,10 @@
   return Math.max(0, ...counts);
 }
 
-/** Returns the mean requests per second that each limited server received while
- * limited. */
+/**
+ * Returns the mean requests per second that each limited server received while
+ * limited.
+ */
 function meanRate(
   arrivals: readonly LimitedArrival[],
   servers: number,
@@ -73,8 +79,10 @@
   ]],
 ];
 
-/** Simulates a load during which some servers report a limit from `FROM` to
- * `LIMITED_UNTIL`. */
+/**
+ * Simulates a load during which some servers report a limit from `FROM` to
+ * `LIMITED_UNTIL`.
+ */
 function simulate(
   vms: number,
   requestsPerSecond: number,
@@ -116,8 +124,10 @@
   return isKeyed ? 2 : 1;
 }
 
-/** Returns the share of the requests started between `from` and `until` that were served within
- * the target latency. */
+/**
+ * Returns the share of the requests started between `from` and `until` that were served within
+ * the target latency.
+ */
 function servedShare(load: RequestLoad, from: number, until: number): number {
   const results = load.results.filter(({ startedAt }) =>
     startedAt >= from && startedAt < until
--- a/test/ownership/request_load.ts
+++ b/test/ownership/request_load.ts
@@ -18,11 +18,15 @@
 const CALLER_HOP = 8;
 /** One-way delay between a VM and a server, in milliseconds. */
 const SERVER_HOP = 1;
-/** Standard deviation of the logarithm of a request's processing time. The standard
- * deviation of the processing time itself is then 0.8 of its mean. */
+/**
+ * Standard deviation of the logarithm of a request's processing time. The standard
+ * deviation of the processing time itself is then 0.8 of its mean.
+ */
 const WORK_SIGMA = 0.7;
-/** Time after which a VM that has forwarded an response with a limit must apply the limit,
- * in milliseconds. */
+/**
+ * Time after which a VM that has forwarded an response with a limit must apply the limit,
+ * in milliseconds.
+ */
 const LIMIT_PROPAGATION_TIME = 500;
 /** Maximum delay before a retry that callers accept, as a share of the remaining time. */
 const MAXIMUM_DELAY_SHARE = 1 / 3;
@@ -55,8 +59,10 @@
   isIdempotent?: boolean;
   /** Share of the requests that have the same target; none if left out. */
   popularShare?: number;
-  /** Warm-up of servers that start during the simulation; if left out, they take the full
-   * load at once. */
+  /**
+   * Warm-up of servers that start during the simulation; if left out, they take the full
+   * load at once.
+   */
   warmUp?: ColdStart;
   /** A request that crashes each server that starts to run it; none if left out. */
   crashingRequest?: CrashingRequest;
@@ -77,8 +83,10 @@
 export interface LimitedArrival {
   server: string;
   at: number;
-  /** Whether its VM had forwarded a response with the limit at least
-   * {@linkcode LIMIT_PROPAGATION_TIME} before. */
+  /**
+   * Whether its VM had forwarded a response with the limit at least
+   * {@linkcode LIMIT_PROPAGATION_TIME} before.
+   */
   isLimitKnown: boolean;
 }
 
@@ -92,8 +100,10 @@
   crashRate: number;
 }
 
-/** A request that is repeated unchanged and sent to a random VM each time. Times are
- * milliseconds. */
+/**
+ * A request that is repeated unchanged and sent to a random VM each time. Times are
+ * milliseconds.
+ */
 export interface CrashingRequest {
   from: number;
   until: number;
@@ -106,8 +116,10 @@
   copies?: number;
 }
 
-/** Number of requests for a key by result, one result for each caller, and counts of
- * their attempts. */
+/**
+ * Number of requests for a key by result, one result for each caller, and counts of
+ * their attempts.
+ */
 export interface LoadCounts {
   inTime: number;
   late: number;
@@ -160,8 +172,10 @@
   caller: Caller;
   vm: number;
   startedAt: number;
-  /** Whether it arrived while the VM was not running. The VM then cannot know how long
-   * the request was in transit. */
+  /**
+   * Whether it arrived while the VM was not running. The VM then cannot know how long
+   * the request was in transit.
+   */
   isDelayed: boolean;
 }
 
@@ -208,8 +222,10 @@
   readonly #coldArrivals = new Map<string, number[]>();
   /** Result of each caller's request. */
   readonly results: (Caller & { name: string; took: number })[] = [];
-  /** Longest time by which the deadline of a request sent to a server exceeded that of
-   * its caller, in milliseconds. */
+  /**
+   * Longest time by which the deadline of a request sent to a server exceeded that of
+   * its caller, in milliseconds.
+   */
   longestOverrun = -Infinity;
   /** Requests that were refused because they are quarantined, with the time. */
   readonly quarantined: (Caller & { at: number })[] = [];
@@ -460,8 +476,10 @@
     return isLimited ? requestsPerSecond : null;
   }
 
-  /** Records a request that reaches a cold server. Returns whether the server crashes,
-   * having received too many. */
+  /**
+   * Records a request that reaches a cold server. Returns whether the server crashes,
+   * having received too many.
+   */
   #isOverloadedCold(server: string): boolean {
     const { warmUp } = this.options;
     if (warmUp === undefined || !this.system.isCold(server)) return false;
@@ -518,8 +536,10 @@
     }
   }
 
-  /** Draws the processing time of a request as a multiple of the mean, from a log-normal
-   * distribution. */
+  /**
+   * Draws the processing time of a request as a multiple of the mean, from a log-normal
+   * distribution.
+   */
   #workFactor(): number {
     const radius = Math.sqrt(-2 * Math.log(1 - this.draw()));
     const normal = radius * Math.cos(2 * Math.PI * this.draw());
--- a/test/ownership/schedule.ts
+++ b/test/ownership/schedule.ts
@@ -29,8 +29,10 @@
 
 /** Length of a simulation, in milliseconds. */
 const DURATION = 40_000;
-/** Latest start of a fault, in milliseconds, so that its effects appear before the
- * simulation ends. */
+/**
+ * Latest start of a fault, in milliseconds, so that its effects appear before the
+ * simulation ends.
+ */
 const LAST_FAULT_AT = 28_000;
 
 const fault = fc.record({
@@ -49,9 +51,11 @@
   seed: fc.nat(),
 });
 
-/** Simulations with a term holder that loses the store and all peers, so that another
+/**
+ * Simulations with a term holder that loses the store and all peers, so that another
  * VM takes over the term. They detect a holder that acts after the end of its
- * authority. */
+ * authority.
+ */
 export const staleHolderSchedules: fc.Arbitrary<SimulationOptions> = fc.record({
   vms: fc.integer({ min: 2, max: 3 }),
   servers: fc.integer({ min: 2, max: 4 }),
@@ -108,8 +112,10 @@
   target: fc.nat(15),
 });
 
-/** A term holder that loses the store and all peers, so that another VM is elected while
- * it still has authority. */
+/**
+ * A term holder that loses the store and all peers, so that another VM is elected while
+ * it still has authority.
+ */
 const holderIsolation = fc.integer({ min: 4_000, max: 16_000 }).map(
   (at): Fault[] => [
     { kind: "vm.cut_from_store", at, duration: 3_000, target: 0 },
@@ -117,8 +123,10 @@
   ],
 );
 
-/** Simulations in which servers restart, under the same id or another one, at any moment
- * of a grant, a renewal, a release, a change of term and a loss of connectivity. */
+/**
+ * Simulations in which servers restart, under the same id or another one, at any moment
+ * of a grant, a renewal, a release, a change of term and a loss of connectivity.
+ */
 export const serverRestartSchedules: fc.Arbitrary<SimulationOptions> = fc
   .record({
     vms: fc.integer({ min: 1, max: 3 }),
@@ -132,8 +140,10 @@
     seed: fc.nat(),
   });
 
-/** Simulations in which a term holder loses the store and all peers, and servers restart
- * while it still has authority and its successor already sends orders. */
+/**
+ * Simulations in which a term holder loses the store and all peers, and servers restart
+ * while it still has authority and its successor already sends orders.
+ */
 export const isolatedHolderSchedules: fc.Arbitrary<SimulationOptions> = fc
   .record({
     vms: fc.integer({ min: 2, max: 3 }),
@@ -162,8 +172,10 @@
     seed: fc.nat(),
   });
 
-/** Simulations in which the registry contains entries of another writer, in addition to
- * other faults. */
+/**
+ * Simulations in which the registry contains entries of another writer, in addition to
+ * other faults.
+ */
 export const foreignEntrySchedules: fc.Arbitrary<SimulationOptions> = fc.record(
   {
     vms: fc.integer({ min: 1, max: 3 }),
@@ -192,8 +204,10 @@
   target: fc.nat(15),
 });
 
-/** Simulations in which VMs are suspended, at any moment of a term, an order and an
- * election, in addition to other faults. */
+/**
+ * Simulations in which VMs are suspended, at any moment of a term, an order and an
+ * election, in addition to other faults.
+ */
 export const suspensionSchedules: fc.Arbitrary<SimulationOptions> = fc.record({
   vms: fc.integer({ min: 2, max: 4 }),
   servers: fc.integer({ min: 2, max: 4 }),
@@ -205,8 +219,10 @@
   seed: fc.nat(),
 });
 
-/** Simulations in which the time of day of VMs is set forward and back while servers are
- * unreachable. */
+/**
+ * Simulations in which the time of day of VMs is set forward and back while servers are
+ * unreachable.
+ */
 export const clockStepSchedules: fc.Arbitrary<SimulationOptions> = fc.record({
   vms: fc.integer({ min: 1, max: 3 }),
   servers: fc.integer({ min: 2, max: 4 }),
@@ -237,8 +253,10 @@
   interval: number;
 }
 
-/** Schedules in which VMs, servers and the store fail while a request that crashes its
- * servers is repeated. */
+/**
+ * Schedules in which VMs, servers and the store fail while a request that crashes its
+ * servers is repeated.
+ */
 export const crashSchedules: fc.Arbitrary<CrashSchedule> = fc.record({
   vms: fc.constantFrom(3, 6, 11, 20),
   faults: fc.array(
