--- a/test/ownership/simulation.ts
+++ b/test/ownership/simulation.ts
@@ -42,8 +42,10 @@
 const ONE_WAY_DELAY = 2;
 /** Timeout of a call to the store, in milliseconds. */
 const STORE_TIMEOUT = 700;
-/** Time from a release order until a server has finished its work on the keys, in
- * milliseconds. */
+/**
+ * Time from a release order until a server has finished its work on the keys, in
+ * milliseconds.
+ */
 const RELEASE_TIME = 80;
 /** Timeout of an order, in milliseconds. */
 const ORDER_TIMEOUT = 500;
@@ -51,18 +53,24 @@
 const MAXIMUM_CONNECT_AGE = 30;
 /** Maximum time that an order waits for its connection, in milliseconds. */
 const CONNECT_TIMEOUT = 400;
-/** Upper bound of the time between the end of a server process and the start of the next
- * one, in milliseconds. */
+/**
+ * Upper bound of the time between the end of a server process and the start of the next
+ * one, in milliseconds.
+ */
 const MAXIMUM_DOWNTIME = 600;
-/** Maximum time after a suspension until peers retransmit what was lost during it, in
- * milliseconds. Their kernels double the retransmission timeout after each attempt. */
+/**
+ * Maximum time after a suspension until peers retransmit what was lost during it, in
+ * milliseconds. Their kernels double the retransmission timeout after each attempt.
+ */
 const MAXIMUM_RESEND_DELAY = 1_500;
 /** Rate, relative to real time, of an uptime clock that belongs to another machine. */
 const FOREIGN_RATE = 0.7;
 /** Time after which a lost server is replaced, in milliseconds. */
 const RETURN_TIME = 2_500;
-/** Time after which the registry removes the entry of a server that no longer renews
- * it, in milliseconds. */
+/**
+ * Time after which the registry removes the entry of a server that no longer renews
+ * it, in milliseconds.
+ */
 const ENTRY_LIFETIME = 2_600;
 /** Time between a VM's reads of the term holder, in milliseconds. */
 const HOLDER_INTERVAL = 900;
@@ -72,8 +80,10 @@
 const SEQUENCES_PER_PROCESS = 2 ** 20;
 /** Upper bound of the number of VMs in a simulation. */
 const MAXIMUM_VMS = 2 ** 10;
-/** Time between two checks of the configuration versions that VMs have, in
- * milliseconds. */
+/**
+ * Time between two checks of the configuration versions that VMs have, in
+ * milliseconds.
+ */
 const COMPARE_INTERVAL = 100;
 /** Time without a fault after which a VM has to be up to date, in milliseconds. */
 const STABILITY_TIME = 3_000;
@@ -99,13 +109,17 @@
     | "server.restart"
     /** The server ends, and another process with a different id starts at its address. */
     | "server.replaced"
-    /** The server crashes and resets all its requests. Some seconds later another
-     * process with a different id starts at its address. */
+    /**
+     * The server crashes and resets all its requests. Some seconds later another
+     * process with a different id starts at its address.
+     */
     | "server.lost"
     /** All VMs but the first one are cut off from the server. */
     | "server.cut_from_vms"
-    /** Another writer registers an entry with the server's address for a service that is
-     * not configured. */
+    /**
+     * Another writer registers an entry with the server's address for a service that is
+     * not configured.
+     */
     | "registry.foreign_entry"
     /** Operators evacuate the availability zone with the index `target`. */
     | "zone.evacuated"
@@ -129,13 +143,17 @@
   seed: number;
   /** Fitness of each VM to hold the term; the same for all if left out. */
   fitness?: readonly number[];
-  /** Lease timing of the first VM where it differs from the default. Tests use it to
-   * break a rule that the simulation must then report. */
+  /**
+   * Lease timing of the first VM where it differs from the default. Tests use it to
+   * break a rule that the simulation must then report.
+   */
   firstTiming?: Partial<LeaseTiming>;
   /** Lease timing of all other VMs where it differs from the default. */
   otherTiming?: Partial<LeaseTiming>;
-  /** Time between two versions of the configuration, in milliseconds; only the first
-   * version is published if left out. */
+  /**
+   * Time between two versions of the configuration, in milliseconds; only the first
+   * version is published if left out.
+   */
   configurationInterval?: number;
   /** Number of availability zones; one if left out. */
   zones?: number;
@@ -147,8 +165,10 @@
   isStoreVolatile?: boolean;
   /** Whether orders name no server, so that any process at the address accepts them. */
   isServerUnnamed?: boolean;
-  /** Whether a server rejects orders as misdirected while another entry is registered
-   * with its address. The term holder then concludes that the server has ended. */
+  /**
+   * Whether a server rejects orders as misdirected while another entry is registered
+   * with its address. The term holder then concludes that the server has ended.
+   */
   isForeignEntryTrusted?: boolean;
   /** Whether a renewal reuses the token of the grant that it renews. */
   isTokenReused?: boolean;
@@ -160,12 +180,16 @@
   isClockJumpCertain?: boolean;
   /** Whether every order may open a connection. */
   mayAlwaysConnect?: boolean;
-  /** Processor time that a VM takes to create an order, in milliseconds; none if left
+  /**
+   * Processor time that a VM takes to create an order, in milliseconds; none if left
    * out. The orders of one step are sent once all of them are created, and the VM is
-   * blocked until then. */
+   * blocked until then.
+   */
   orderTime?: number;
-  /** Processor time that a VM takes to send a message to another VM, in
-   * milliseconds; none if left out. */
+  /**
+   * Processor time that a VM takes to send a message to another VM, in
+   * milliseconds; none if left out.
+   */
   messageTime?: number;
 }
 
@@ -178,8 +202,10 @@
   holders: string[];
   /** Share of the sampled keys on which the assigned server held a lease. */
   heldShare: number;
-  /** Longest time for which a VM without a fault lacked a version of the configuration,
-   * in milliseconds. */
+  /**
+   * Longest time for which a VM without a fault lacked a version of the configuration,
+   * in milliseconds.
+   */
   configurationLag: number;
   /** Calls to the store by VMs, by kind. */
   storeCalls: Map<string, number>;
@@ -189,8 +215,10 @@
   messages: Map<string, number>;
   /** Number of orders that a VM sent although its authority had ended. */
   staleOrders: number;
-  /** Number of orders that were not sent: no connection was open, and they were not
-   * allowed to open one or were too old to do so. */
+  /**
+   * Number of orders that were not sent: no connection was open, and they were not
+   * allowed to open one or were too old to do so.
+   */
   withheldOrders: number;
   /** Time at which each VM first quarantined a request, by VM id. */
   quarantinedAt: Map<string, number>;
@@ -198,8 +226,10 @@
   quarantineMessages: PeerMessage[];
   /** Times at which servers crashed by a fault `server.lost` or by a request. */
   serverCrashTimes: number[];
-  /** Time since the evacuation of the zone, for each request that was sent to an
-   * evacuated zone. */
+  /**
+   * Time since the evacuation of the zone, for each request that was sent to an
+   * evacuated zone.
+   */
   evacuatedZoneSends: number[];
   /** Longest time until all VMs knew of an evacuation or its end, in milliseconds. */
   evacuationLag: number;
@@ -211,8 +241,10 @@
   /** Number of restarts so far; tells the processes of the VM apart. */
   restartCount = 0;
   isUp = true;
-  /** Whether it reads the store's feeds itself, instead of receiving store updates from
-   * the term holder. */
+  /**
+   * Whether it reads the store's feeds itself, instead of receiving store updates from
+   * the term holder.
+   */
   isFollowing = true;
   /** Whether the answer to its long poll was lost without an error. */
   isPollLost = false;
@@ -455,8 +487,10 @@
     this.#handle(vm, { kind: "evacuations.read", read });
   }
 
-  /** Writes an operator's request to evacuate or restore a zone, and answers the long
-   * polls that wait for it. */
+  /**
+   * Writes an operator's request to evacuate or restore a zone, and answers the long
+   * polls that wait for it.
+   */
   #evacuate(zone: string, isOn: boolean): void {
     const { now } = this.#time;
     if (isOn) this.#evacuated.set(zone, now);
@@ -469,8 +503,10 @@
     this.#checkEvacuations(now, this.#operatorPosition);
   }
 
-  /** Records how long it takes until all running VMs know the operators' requests up to
-   * `position`; stops when a later request has been written. */
+  /**
+   * Records how long it takes until all running VMs know the operators' requests up to
+   * `position`; stops when a later request has been written.
+   */
   #checkEvacuations(since: number, position: number): void {
     if (position !== this.#operatorPosition) return;
     const isKnown = this.#vms.every((vm) =>
@@ -582,8 +618,10 @@
     this.#registryLog.push(id);
   }
 
-  /** Samples a random key: counts whether the server that a random VM has in its
-   * assignment holds a lease on the key. */
+  /**
+   * Samples a random key: counts whether the server that a random VM has in its
+   * assignment holds a lease on the key.
+   */
   #sampleKey(): void {
     const key = Math.floor(this.#draw() ** 2 * 65_536);
     const vm = this.#vms[Math.floor(this.#draw() * this.#vms.length)];
@@ -816,8 +854,10 @@
     }
   }
 
-  /** Records a successful claim of a term. If two VMs claimed the same term, both would
-   * use the same tokens for their orders. */
+  /**
+   * Records a successful claim of a term. If two VMs claimed the same term, both would
+   * use the same tokens for their orders.
+   */
   #recordClaim(term: number, { id }: Vm): void {
     const holder = this.#claims.get(term) ?? id;
     this.#claims.set(term, holder);
@@ -891,8 +931,10 @@
     this.#time.after(ONE_WAY_DELAY, () => this.#handle(peer, event));
   }
 
-  /** Counts an order of a VM whose authority has ended: its last answered membership
-   * call was sent too long ago. */
+  /**
+   * Counts an order of a VM whose authority has ended: its last answered membership
+   * call was sent too long ago.
+   */
   #recordStaleOrder(vm: Vm): void {
     const { authority } = leaseTimingSchema.parse({});
     if (this.#time.now - vm.joinedAt > authority) {
@@ -941,8 +983,10 @@
     });
   }
 
-  /** Withholds an order. The VM reports all orders that are withheld in one turn of its
-   * event loop together. */
+  /**
+   * Withholds an order. The VM reports all orders that are withheld in one turn of its
+   * event loop together.
+   */
   #withhold(vm: Vm, { order }: GrantOrder | ReleaseOrder): void {
     this.#report.withheldOrders += 1;
     vm.withheldOrders.push(order);
@@ -975,8 +1019,10 @@
     this.#performSteps(vm, steps, orderTime);
   }
 
-  /** Carries out the effects of the steps of one turn of a VM's event loop. Each step
-   * takes `stepTime` on top of its effects. Orders are sent at the end of the turn. */
+  /**
+   * Carries out the effects of the steps of one turn of a VM's event loop. Each step
+   * takes `stepTime` on top of its effects. Orders are sent at the end of the turn.
+   */
   #performSteps(
     vm: Vm,
     steps: readonly EntryEffect[][],
@@ -1025,8 +1071,10 @@
     return this.#servers.findLast((each) => each.address === address);
   }
 
-  /** Sends an order over a connection to a server process. The order is lost if the
-   * process ends. */
+  /**
+   * Sends an order over a connection to a server process. The order is lost if the
+   * process ends.
+   */
   #transmit(
     server: ModelServer,
     order: GrantOrder | ReleaseOrder,
@@ -1076,8 +1124,10 @@
     return accepted;
   }
 
-  /** Reports other server processes that hold a lease on the keys of a new grant, or have
-   * held them with a token that is not lower. */
+  /**
+   * Reports other server processes that hold a lease on the keys of a new grant, or have
+   * held them with a token that is not lower.
+   */
   #checkOwnership(server: ModelServer, lease: KeyLease): void {
     const { now } = this.#time;
     this.#report.grants += 1;
@@ -1238,8 +1288,10 @@
     this.#register(server);
   }
 
-  /** Ends a server process and starts another one at its address, which registers
-   * later. */
+  /**
+   * Ends a server process and starts another one at its address, which registers
+   * later.
+   */
   #replace(server: ModelServer, id: string, duration: number): void {
     server.isUp = false;
     this.#time.after(duration % MAXIMUM_DOWNTIME, () => {
@@ -1271,8 +1323,10 @@
     });
   }
 
-  /** Returns the remaining warm-up time of a process that started at `startedAt`.
-   * Processes that exist from the start of the simulation are warm. */
+  /**
+   * Returns the remaining warm-up time of a process that started at `startedAt`.
+   * Processes that exist from the start of the simulation are warm.
+   */
   #warmUpLeft(startedAt: number): number {
     const { duration } = this.options.load?.warmUp ?? { duration: 0 };
     const left = startedAt + duration - this.#time.now;
@@ -1301,8 +1355,10 @@
   }
 }
 
-/** Returns the sequence number of a VM's claims, by which the store distinguishes them
- * from those of other VMs. */
+/**
+ * Returns the sequence number of a VM's claims, by which the store distinguishes them
+ * from those of other VMs.
+ */
 function firstSequence({ index, restartCount }: Vm): number {
   return SEQUENCES_PER_PROCESS * (1 + index + MAXIMUM_VMS * restartCount);
 }
--- a/test/ownership/suspension_test.ts
+++ b/test/ownership/suspension_test.ts
@@ -90,8 +90,10 @@
   t.deepEqual(violations, []);
 });
 
-/** Simulates a holder whose time of day is set forward by a second while it waits for the
- * lease of an unreachable server to expire. Returns the violations. */
+/**
+ * Simulates a holder whose time of day is set forward by a second while it waits for the
+ * lease of an unreachable server to expire. Returns the violations.
+ */
 function simulateClockStep(mutation: Partial<SimulationOptions>): string[] {
   const faults: Fault[] = [
     { kind: "server.cut_from_store", at: 8_000, duration: 20_000, target: 0 },
--- a/test/soak/soak_plan.ts
+++ b/test/soak/soak_plan.ts
@@ -78,8 +78,10 @@
 const START_MARGIN = 800;
 /** Minimum time from the start of a fault to the end of the load, in milliseconds. */
 const END_MARGIN = 2_000;
-/** Mean time between two faults, in milliseconds. It is shorter than many faults, so that
- * they overlap. */
+/**
+ * Mean time between two faults, in milliseconds. It is shorter than many faults, so that
+ * they overlap.
+ */
 const MEAN_INTERVAL = 900;
 /** Range of the duration of a fault, in milliseconds. */
 const MINIMUM_DURATION = 200;
@@ -87,8 +89,10 @@
 
 /** Mean time between two faults that extended plans add, in milliseconds. */
 const EXTENDED_MEAN_INTERVAL = 2_500;
-/** Value that the seed is XORed with for added faults, so that their random numbers are
- * independent of those of the plan. */
+/**
+ * Value that the seed is XORed with for added faults, so that their random numbers are
+ * independent of those of the plan.
+ */
 const EXTENDED_SEED_MASK = 0x5eed;
 
 /** Creates the plan of a seed with additional {@linkcode EXTENDED_FAULTS}. */
--- a/test/support/deployment.ts
+++ b/test/support/deployment.ts
@@ -65,8 +65,10 @@
 export interface DeploymentOptions {
   entries: number;
   servers: number;
-  /** Returns the address at which process `from` connects to process `name`, which
-   * listens at `to`. By default it connects directly. */
+  /**
+   * Returns the address at which process `from` connects to process `name`, which
+   * listens at `to`. By default it connects directly.
+   */
   link?: (from: string, name: string, to: string) => string;
   /** Mutation of the program that the checks must detect. */
   mutation?: MutationName | null;
--- a/test/support/peer_messages.ts
+++ b/test/support/peer_messages.ts
@@ -24,8 +24,10 @@
   };
 }
 
-/** Delivers messages, including answers, until none are pending. Drops messages to unknown
- * addresses. */
+/**
+ * Delivers messages, including answers, until none are pending. Drops messages to unknown
+ * addresses.
+ */
 export function deliver<M extends PeerMessage>(
   vms: readonly Peer<M>[],
   now: number,
--- a/tools/build.ts
+++ b/tools/build.ts
@@ -21,8 +21,10 @@
 const BLOB = `${FOLDER}/plumloft.blob`;
 const SEA_CONFIGURATION = `${FOLDER}/sea.json`;
 const EXECUTABLE = `${FOLDER}/plumloft`;
-/** Sentinel that marks the injection point in the Node.js binary, as given in the
- * Node.js documentation of single executable applications. */
+/**
+ * Sentinel that marks the injection point in the Node.js binary, as given in the
+ * Node.js documentation of single executable applications.
+ */
 const FUSE = "NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2";
 
 async function buildExecutable(): Promise<void> {
--- a/tools/bundle.ts
+++ b/tools/bundle.ts
@@ -5,9 +5,11 @@
  */
 import { build, type BuildOptions, type Plugin } from "esbuild";
 
-/** Inside the executable, the built-in `require` prints warnings for the modules
+/**
+ * Inside the executable, the built-in `require` prints warnings for the modules
  * that libraries resolve, so the banner replaces it. `bundleUrl` replaces
- * `import.meta.url`, which CommonJS doesn't have. */
+ * `import.meta.url`, which CommonJS doesn't have.
+ */
 const BANNER = `
 require = require("node:module").createRequire(__filename);
 const bundleUrl = require("node:url").pathToFileURL(__filename).href;
--- a/tools/generate_code_cache.ts
+++ b/tools/generate_code_cache.ts
@@ -11,8 +11,10 @@
 import { stringify } from "yaml";
 import { CompiledProgram } from "../src/launcher/compiled_program.ts";
 
-/** Time for the process to start, in milliseconds. Functions that have not run by
- * then are not in the cache and are compiled on first use. */
+/**
+ * Time for the process to start, in milliseconds. Functions that have not run by
+ * then are not in the cache and are compiled on first use.
+ */
 const START_DURATION = 500;
 const ANY_PORT = "127.0.0.1:0";
 /** Nothing listens at this address, so the process can't connect to a store. */
--- a/tools/vary_site.ts
+++ b/tools/vary_site.ts
@@ -18,8 +18,10 @@
 
 /** Parameters of a variant. */
 export interface SiteVariant {
-  /** Number of availability zones to keep; the others are merged into them in
-   * turn. */
+  /**
+   * Number of availability zones to keep; the others are merged into them in
+   * turn.
+   */
   zones: number;
   /** Factor for the number of VMs; at least one is kept. */
   vms: number;
