--- a/src/core/quarantine/crash_detector.ts
+++ b/src/core/quarantine/crash_detector.ts
@@ -47,7 +47,7 @@
   address: string;
 }
 
-/** A request whose connection to the server broke. */
+/** A request whose connection to the server broke. Its body is not kept. */
 export interface BrokenRequest {
   /** Request id that the caller assigned. */
   id: string;
--- a/src/core/quarantine/crash_detector_test.ts
+++ b/src/core/quarantine/crash_detector_test.ts
@@ -29,7 +29,7 @@
   t.is(crashCount(), 0);
 });
 
-test("crash detector: a refused connection attributes a crash to requests that broke before and after", (t) => {
+test("crash detector: a refused connection attributes a crash to requests whose connections broke before and after", (t) => {
   const { detector, crashCount, server } = createDetector();
   detector.connectionBroke(server("s-1"), REQUEST, 0);
   detector.exited(server("s-1"), 5);
@@ -39,7 +39,7 @@
   t.is(crashCount(), 2);
 });
 
-test("crash detector: a removal from the registry attributes a crash to requests that broke recently", (t) => {
+test("crash detector: a removal from the registry attributes a crash to requests whose connections broke recently", (t) => {
   const { detector, crashCount, server, fleet } = createDetector();
   detector.connectionBroke(server("s-1"), REQUEST, 0);
   detector.connectionBroke(server("s-2"), REQUEST, 0);
--- a/src/core/quarantine/crash_record.ts
+++ b/src/core/quarantine/crash_record.ts
@@ -97,7 +97,7 @@
   runs: string[];
   excused: string[];
   /** When the last crash was recorded. */
-  lastAt: number;
+  lastCrashAt: number;
   /** When a server last answered it, as observed by this VM. */
   answeredAt: number;
   /** Since when {@linkcode isNearLimit} is true; Infinity while it is false. */
@@ -110,7 +110,7 @@
    * Address of the VM that sent exactly this state, to which it need not be sent back;
    * null if there is none.
    */
-  knownAt: string | null;
+  receivedFrom: string | null;
 }
 
 /**
@@ -146,13 +146,15 @@
 }
 
 /** When a quarantined request is released for a trial. */
-export function quarantinedUntil({ round, lastAt }: RequestCrashes): number {
-  return lastAt + quarantineDuration(round);
+export function quarantinedUntil(
+  { round, lastCrashAt }: RequestCrashes,
+): number {
+  return lastCrashAt + quarantineDuration(round);
 }
 
 /** When the record of a request that is not quarantined expires. */
-export function expiresAt({ round, lastAt }: RequestCrashes): number {
-  return lastAt + RECORD_LIFETIME +
+export function expiresAt({ round, lastCrashAt }: RequestCrashes): number {
+  return lastCrashAt + RECORD_LIFETIME +
     (round === 0 ? 0 : quarantineDuration(round - 1));
 }
 
@@ -179,11 +181,11 @@
 }
 
 /** Creates a record without crashes. */
-export function newCrashes(
+export function createRequestCrashes(
   request: string,
   target: string,
   round: number,
-  lastAt: number,
+  lastCrashAt: number,
 ): RequestCrashes {
   return {
     request,
@@ -191,12 +193,12 @@
     round,
     runs: [],
     excused: [],
-    lastAt,
+    lastCrashAt,
     answeredAt: -Infinity,
     nearLimitSince: Infinity,
     isHeld: false,
     revision: 0,
-    knownAt: null,
+    receivedFrom: null,
   };
 }
 
@@ -216,7 +218,7 @@
  */
 export function isEvictedBefore(a: RequestCrashes, b: RequestCrashes): boolean {
   if (a.isHeld !== b.isHeld) return b.isHeld;
-  return a.lastAt < b.lastAt;
+  return a.lastCrashAt < b.lastCrashAt;
 }
 
 /** Describes a quarantined request. */
@@ -227,8 +229,9 @@
 
 /** Converts a record to the form that is sent to other VMs. */
 export function toRecord(crashes: RequestCrashes, now: number): CrashRecord {
-  const { request, target, round, runs, excused, lastAt, isHeld } = crashes;
-  const age = Math.max(0, now - lastAt);
+  const { request, target, round, runs, excused, lastCrashAt, isHeld } =
+    crashes;
+  const age = Math.max(0, now - lastCrashAt);
   return { request, target, round, runs, excused, age, isHeld };
 }
 
--- a/src/core/quarantine/quarantine.ts
+++ b/src/core/quarantine/quarantine.ts
@@ -20,6 +20,7 @@
 import { type Fingerprint, headOf } from "./fingerprint.ts";
 import {
   type CrashRecord,
+  createRequestCrashes,
   digestOf,
   expiresAt,
   hasReachedLimit,
@@ -31,7 +32,6 @@
   isRecentlyAnswered,
   isReplicated,
   MAXIMUM_PROCESSES,
-  newCrashes,
   quarantinedFrom,
   quarantinedUntil,
   type RequestCrashes,
@@ -45,8 +45,11 @@
  */
 const MAXIMUM_RECORDS = 4_096;
 /** Minimum time between two checks of all records, in milliseconds. */
-const EXPIRY_INTERVAL = 100;
-/** Maximum number of records in a message to other VMs. */
+const CHECK_INTERVAL = 100;
+/**
+ * Maximum number of records that are replicated to all VMs, and of those in one message
+ * to another VM.
+ */
 const MAXIMUM_SENT_RECORDS = 256;
 
 /** A change of a request's state, for the log. */
@@ -72,7 +75,7 @@
   #ownRevision = 0;
   #persistentRevision = 0;
   #digest: number | null = 0;
-  #expiredAt = -Infinity;
+  #checkedAt = -Infinity;
 
   private constructor(
     private readonly reportChange: (change: QuarantineChange) => void,
@@ -114,12 +117,12 @@
     now: number,
   ): boolean {
     const crashes = this.#records.get(request) ??
-      this.#add(newCrashes(request, target, 0, now));
+      this.#add(createRequestCrashes(request, target, 0, now));
     const isKnown = crashes.runs.includes(processName) ||
       crashes.excused.includes(processName);
     if (isKnown) return false;
     this.#update(crashes, now, () => {
-      crashes.lastAt = now;
+      crashes.lastCrashAt = now;
       const list = isRecentlyAnswered(crashes, now)
         ? crashes.excused
         : crashes.runs;
@@ -134,7 +137,10 @@
     return this.#find(fingerprint)?.runs.length ?? 0;
   }
 
-  /** Whether there is a record of a request. */
+  /**
+   * Whether there is a record of a request: a server has crashed while it ran the
+   * request, even if that crash no longer counts.
+   */
   hasRecord(fingerprint: Fingerprint): boolean {
     return this.#find(fingerprint) !== undefined;
   }
@@ -204,7 +210,9 @@
   ): CrashRecord[] {
     const changed = [...this.#records.values()]
       .filter((each) => each.revision > revision)
-      .filter(({ knownAt }) => knownAt === null || knownAt !== address)
+      .filter(({ receivedFrom }) =>
+        receivedFrom === null || receivedFrom !== address
+      )
       .sort((a, b) => b.revision - a.revision)
       .slice(0, MAXIMUM_SENT_RECORDS);
     return changed.map((each) => toRecord(each, now));
@@ -243,8 +251,8 @@
    * releases quarantined requests for a trial, and removes expired records.
    */
   advance(now: number): void {
-    if (now - this.#expiredAt < EXPIRY_INTERVAL) return;
-    this.#expiredAt = now;
+    if (now - this.#checkedAt < CHECK_INTERVAL) return;
+    this.#checkedAt = now;
     for (const crashes of this.#records.values()) this.#advance(crashes, now);
   }
 
@@ -263,17 +271,17 @@
 
   #merge(record: CrashRecord, now: number, address: string | null): void {
     const { request, target, round } = record;
-    const lastAt = now - record.age;
+    const lastCrashAt = now - record.age;
     const known = this.#records.get(request);
     const crashes = known ??
-      this.#add(newCrashes(request, target, round, lastAt));
+      this.#add(createRequestCrashes(request, target, round, lastCrashAt));
     const excused = union(crashes.excused, record.excused);
     const runs = union(crashes.runs, record.runs)
       .filter((each) => !excused.includes(each));
     const isChanged = known === undefined || round > crashes.round ||
       !hasSameNames(runs, crashes.runs) ||
       !hasSameNames(excused, crashes.excused);
-    crashes.lastAt = Math.max(crashes.lastAt, lastAt);
+    crashes.lastCrashAt = Math.max(crashes.lastCrashAt, lastCrashAt);
     if (!isChanged) return;
     this.#update(crashes, now, () => {
       crashes.round = Math.max(crashes.round, round);
@@ -282,7 +290,7 @@
     });
     const isComplete = hasSameNames(crashes.runs, record.runs) &&
       hasSameNames(crashes.excused, record.excused);
-    crashes.knownAt = isComplete ? address : null;
+    crashes.receivedFrom = isComplete ? address : null;
     if (crashes.runs.length > 0 && isRecentlyAnswered(crashes, now)) {
       this.#excuse(crashes, crashes.runs, now);
       this.#ownRevision = this.#revision;
@@ -315,7 +323,7 @@
     const wasNearLimit = isNearLimit(crashes);
     change();
     if (wasNearLimit !== isNearLimit(crashes)) this.#persistentRevision += 1;
-    crashes.knownAt = null;
+    crashes.receivedFrom = null;
     crashes.runs = crashes.runs.slice(-MAXIMUM_PROCESSES);
     crashes.excused = crashes.excused.slice(-MAXIMUM_PROCESSES);
     const since = Math.min(crashes.nearLimitSince, now);
--- a/src/core/quarantine/run_permits.ts
+++ b/src/core/quarantine/run_permits.ts
@@ -22,9 +22,9 @@
 /** Timeout of a permit request, in milliseconds. */
 const ANSWER_TIMEOUT = 250;
 /**
- * Maximum time for which a denial applies, in milliseconds, after which this VM requests
- * the permit again. The permit of the other copy may be released long before it
- * expires.
+ * Maximum time for which a denial applies, in milliseconds. It is short because the
+ * permit of the other copy may be released long before it expires, and limits how often
+ * this VM repeats its permit request.
  */
 const MAXIMUM_DENIAL = 200;
 /** Time after a permit request timed out in which it is not repeated, in milliseconds. */
@@ -69,7 +69,9 @@
   | { kind: "granted" }
   /** A permit request is pending; it times out at `until`. */
   | { kind: "asked"; until: number }
-  /** Another copy runs, or the issuer did not answer; `left` in milliseconds. */
+  /**
+   * Another copy runs, or no issuer can rule that out. Applies for `left` milliseconds.
+   */
   | { kind: "denied"; left: number };
 
 /** The permit of a copy, its permit request, or the denial of that request. */
