--- a/src/core/rates/rate_share.ts
+++ b/src/core/rates/rate_share.ts
@@ -26,7 +26,7 @@
 
   /**
    * Whether this VM may send a request to a server now, at one request per `interval`
-   * milliseconds.
+   * milliseconds. The first call for a server schedules its first request.
    */
   maySend(server: string, interval: number, now: number): boolean {
     const known = this.#nextAt.get(server);
--- a/src/core/rates/rate_tokens.ts
+++ b/src/core/rates/rate_tokens.ts
@@ -9,7 +9,7 @@
  * ```ts
  * switch (tokens.check(server, isUrgent, now).kind) {
  *   case "ready":
- *     tokens.started(server, now); // and the request is sent
+ *     tokens.requestSent(server, now); // after the request was sent
  * }
  * ```
  *
@@ -22,8 +22,8 @@
 /** Timeout of a token request, in milliseconds. */
 const ANSWER_TIMEOUT = 250;
 /**
- * Time for which a VM uses its share after a token request timed out, in
- * milliseconds.
+ * Time for which a VM uses its share after a token request timed out or could not be
+ * sent, in milliseconds.
  */
 const SHARE_DURATION = 1_000;
 /**
@@ -32,7 +32,7 @@
  */
 const TOKEN_LIFETIME = 1_000;
 /**
- * Longest time for which a denial applies, in milliseconds, since the limit may change
+ * Maximum time for which a denial applies, in milliseconds, since the limit may change
  * in the meantime.
  */
 const MAXIMUM_DENIAL = 500;
@@ -71,7 +71,7 @@
   | { kind: "asked"; until: number; isUrgent: boolean }
   | { kind: "granted"; until: number }
   | { kind: "denied"; until: number; isUrgent: boolean }
-  /** The term holder did not answer; this VM uses its share of the rate. */
+  /** The term holder did not answer or is unreachable; this VM uses its share. */
   | { kind: "shared"; until: number };
 
 /** See the module's comment. Times are milliseconds of this VM's clock. */
