--- a/src/core/fleet/fleet.ts
+++ b/src/core/fleet/fleet.ts
@@ -230,7 +230,7 @@
     });
   }
 
-  /** Returns all recent rate limit reports, including those that a limit has ended. */
+  /** Returns all recent rate limit reports, including reports that a limit ended. */
   reportedRateLimits(now: number): ServerRateLimit[] {
     return this.all().flatMap(({ id, rateLimit }) => {
       const report = rateLimit.latestReport(now);
--- a/src/core/fleet/reported_rate_limit.ts
+++ b/src/core/fleet/reported_rate_limit.ts
@@ -47,7 +47,7 @@
   #limitedAt = -Infinity;
   /** When the limit that was last reported expires. */
   #expiresAt = -Infinity;
-  /** Whether the latest report came to this VM and was not yet sent to other VMs. */
+  /** Whether this VM received the latest report and has not yet sent it to other VMs. */
   #isUnsent = false;
 
   private constructor() {}
@@ -99,7 +99,10 @@
     return { requestsPerSecond: this.#requestsPerSecond, age };
   }
 
-  /** Returns the latest report if it came to this VM since the last call, or null. */
+  /**
+   * Returns the latest report if the server sent it to this VM since the last call, or
+   * null.
+   */
   takeUnsent(now: number): RateLimitReport | null {
     if (!this.#isUnsent) return null;
     this.#isUnsent = false;
--- a/src/core/fleet/tracked_server.ts
+++ b/src/core/fleet/tracked_server.ts
@@ -158,9 +158,9 @@
   }
 
   /**
-   * Whether it may be able to handle only few requests because it is warming up
-   * according to its entry, or because it may have restarted recently, which its entry
-   * shows late. A restarted server is cold for `duration` milliseconds.
+   * Whether it may be cold, that is, able to handle only few requests: it is warming up
+   * according to its entry, or may have restarted recently, which its entry shows late.
+   * A restarted server is cold for `duration` milliseconds.
    */
   isCold(now: number, duration: number): boolean {
     return this.#isConnectionRefused || now < this.#coldUntil ||
@@ -277,9 +277,9 @@
   }
 
   /**
-   * Whether a request has been in flight for much longer than `meanLatency` and the
-   * server has responded to no request since it was sent: the server is unreachable, hung
-   * or very slow.
+   * Whether the oldest request in flight was sent much longer than `meanLatency` ago and
+   * the server has responded to no request since then: the server is unreachable, hung or
+   * very slow.
    */
   isUnresponsive(now: number, meanLatency: number): boolean {
     const limit = Math.max(
