--- a/src/core/registry/registry_replica.ts
+++ b/src/core/registry/registry_replica.ts
@@ -8,8 +8,8 @@
  *
  * Each update states the position that it starts from, so delayed, duplicated and
  * reordered updates do no harm. Positions also order the incarnations of a server: the
- * one at the later position is the newer. The incarnation itself cannot tell, since it
- * is a time of the server's clock, which may step back.
+ * one at the later position is the newer. Incarnations cannot be compared themselves,
+ * since each is a time of the server's clock, which may step back.
  *
  * ```ts
  * // At the term holder:
@@ -44,8 +44,8 @@
   position: number;
   /**
    * Ids of servers whose entry was written since the previous version, even if it is the
-   * same again: a VM at a position in between may have read a different entry. Null if
-   * these servers are not known.
+   * same again: a VM at a position in between may have read a different entry or a
+   * removal. Null if these servers are not known.
    */
   written: readonly string[] | null;
   /** Ids of servers whose entry differs from the previous version. */
@@ -148,7 +148,7 @@
   }
 
   /**
-   * Records a failed read. `isExpired` tells whether the store no longer keeps the
+   * Records a failed read. `isExpired` states whether the store no longer keeps the
    * changes since the replica's position, so that the next read has to be complete.
    */
   failed(isExpired: boolean, now: number): void {
@@ -193,6 +193,7 @@
     return { since, position, entries, removed, unreadable, knownAt };
   }
 
+  /** Returns the ids of servers that changed after a position, or null if not known. */
   #changedSince(since: number): Set<string> | null {
     const versions = this.#versions;
     const next = versions.findIndex(({ position }) => position >= since);
--- a/src/core/registry/registry_replica_test.ts
+++ b/src/core/registry/registry_replica_test.ts
@@ -159,7 +159,7 @@
   t.deepEqual(reader.updateSince(10, null)?.entries, [newer]);
 });
 
-test("registry: knows the position at which an incarnation was first listed", (t) => {
+test("registry: returns the position at which an incarnation was first listed", (t) => {
   const replica = replicaOf(10, [server("a", false, 100)]);
   replica.applyRead(read(12, [server("a", true, 100), server("b")]), 100);
   t.is(replica.incarnationSince("a"), 10);
