--- a/src/core/fleet/backend_server.ts
+++ b/src/core/fleet/backend_server.ts
@@ -5,16 +5,20 @@
  */
 import * as z from "zod";
 
-/** The registry entry of one process of a backend server, written by that process. */
+/**
+ * The registry entry of one process of a backend server, written by that
+ * process.
+ */
 export const backendServerSchema = z.object({
   /**
-   * Identifies the server across restarts; id and incarnation together identify one
-   * process of it.
+   * Identifies the server across restarts; id and incarnation together identify
+   * one process of it.
    */
   id: z.string().min(1),
   /**
-   * When this process started, in Unix milliseconds of the server's clock; 0 if the
-   * server does not report it. Compared for equality only, since clocks can step back.
+   * When this process started, in Unix milliseconds of the server's clock; 0 if
+   * the server does not report it. Compared for equality only, since clocks can
+   * step back.
    */
   incarnation: z.number().int().nonnegative(),
   service: z.string().min(1),
@@ -24,7 +28,9 @@
   slots: z.number().int().positive(),
   /** Whether it is shutting down and accepts no new requests. */
   isDraining: z.boolean(),
-  /** Remaining time of its warm-up, during which it is slow, in milliseconds. */
+  /**
+   * Remaining time of its warm-up, during which it is slow, in milliseconds.
+   */
   warmUp: z.number().nonnegative(),
 });
 
--- a/src/core/fleet/evacuations.ts
+++ b/src/core/fleet/evacuations.ts
@@ -1,10 +1,10 @@
 /**
- * Availability zones that operators have evacuated. Their servers receive no requests
- * until the zone is restored.
+ * Availability zones that operators have evacuated. Their servers receive no
+ * requests until the zone is restored.
  *
- * A VM reads evacuations from a feed in the store, or receives them from the term holder
- * if it does not read the feed itself. Both sources state a position in the feed; the
- * state at the later position applies.
+ * A VM reads evacuations from a feed in the store, or receives them from the
+ * term holder if it does not read the feed itself. Both sources state a
+ * position in the feed; the state at the later position applies.
  *
  * @module
  */
@@ -12,7 +12,10 @@
 
 /** Maximum length of an availability zone's name, in characters. */
 const MAXIMUM_NAME_LENGTH = 255;
-/** Maximum number of evacuated zones. It limits memory if operators' input is wrong. */
+/**
+ * Maximum number of evacuated zones. It limits memory if operators' input is
+ * wrong.
+ */
 const MAXIMUM_ZONES = 256;
 
 /** Schema of {@linkcode EvacuationSnapshot}. */
@@ -77,7 +80,9 @@
     return position < 0 ? null : { position, zones };
   }
 
-  /** Applies the result of a read of the feed, unless a later state is known. */
+  /**
+   * Applies the result of a read of the feed, unless a later state is known.
+   */
   applyRead(read: EvacuationRead): EvacuationChange {
     const { position, evacuated, restored, isWhole } = read;
     if (position < this.#position) return { evacuated: [], restored: [] };
--- a/src/core/fleet/fleet.ts
+++ b/src/core/fleet/fleet.ts
@@ -1,5 +1,6 @@
 /**
- * The backend servers that the registry lists, with this VM's observations of each.
+ * The backend servers that the registry lists, with this VM's observations of
+ * each.
  *
  * @module
  */
@@ -16,23 +17,25 @@
 } from "./tracked_server.ts";
 
 /**
- * Time after an outage of the registry within which servers write expired entries
- * again, in milliseconds; specified by the platform's operators. A removal that is read
- * in this time takes effect at its end, unless the entry was written again.
+ * Time after an outage of the registry within which servers write expired
+ * entries again, in milliseconds; specified by the platform's operators. A
+ * removal that is read in this time takes effect at its end, unless the entry
+ * was written again.
  */
 const REWRITE_TIME = 2_000;
 
 /**
  * Time for which a server is still used after its entry became unreadable, in
- * milliseconds: one heartbeat, with which a running server rewrites its entry, plus one
- * read of the registry. No request then fails because another writer has overwritten an
- * entry; a server that has ended is still detected by its failures.
+ * milliseconds: one heartbeat, with which a running server rewrites its entry,
+ * plus one read of the registry. No request then fails because another writer
+ * has overwritten an entry; a server that has ended is still detected by its
+ * failures.
  */
 const UNREADABLE_ENTRY_TIMEOUT = 1_500;
 
 /**
- * Time for which the mean latency of a service's servers is cached, in milliseconds.
- * Each request reads it several times, and it changes slowly.
+ * Time for which the mean latency of a service's servers is cached, in
+ * milliseconds. Each request reads it several times, and it changes slowly.
  */
 const MEAN_LATENCY_LIFETIME = 50;
 
@@ -72,8 +75,8 @@
   readonly #byService = new Map<string, TrackedServer[]>();
   readonly #joinedAt = new Map<string, number>();
   /**
-   * Ids of servers that are known only from other VMs and were not yet found in the
-   * registry.
+   * Ids of servers that are known only from other VMs and were not yet found in
+   * the registry.
    */
   readonly #unconfirmed = new Set<string>();
   /** When deferred removals are due, by the server's id. */
@@ -109,8 +112,8 @@
   }
 
   /**
-   * Applies new and changed `entries`, `removed` server ids, and ids of servers whose
-   * entry became `unreadable`. Returns the resulting changes to the list.
+   * Applies new and changed `entries`, `removed` server ids, and ids of servers
+   * whose entry became `unreadable`. Returns the resulting changes to the list.
    */
   apply(
     entries: readonly BackendServer[],
@@ -128,12 +131,13 @@
   /**
    * Applies entries that another VM sent without a position in the registry.
    *
-   * Without a position, the order of two incarnations is unknown. An entry of another
-   * incarnation than the listed one is therefore ignored: if it were older, the state of
-   * the newer one would be discarded; if it is newer, the next read of the registry finds
-   * it. It is also unknown whether the server was removed in the meantime. A deferred
-   * removal therefore stays in force, and a server that was not listed has to be
-   * confirmed by {@linkcode confirmPeerEntries}.
+   * Without a position, the order of two incarnations is unknown. An entry of
+   * another incarnation than the listed one is therefore ignored: if it were
+   * older, the state of the newer one would be discarded; if it is newer, the
+   * next read of the registry finds it. It is also unknown whether the server
+   * was removed in the meantime. A deferred removal therefore stays in force,
+   * and a server that was not listed has to be confirmed by
+   * {@linkcode confirmPeerEntries}.
    */
   applyPeerEntries(
     entries: readonly BackendServer[],
@@ -151,9 +155,9 @@
   }
 
   /**
-   * Checks the servers that are known only from other VMs, once the registry has been
-   * read again. Those that the registry does not list are removed after a delay, unless
-   * an entry is read by then.
+   * Checks the servers that are known only from other VMs, once the registry
+   * has been read again. Those that the registry does not list are removed
+   * after a delay, unless an entry is read by then.
    */
   confirmPeerEntries(isListed: (id: string) => boolean, now: number): void {
     for (const id of this.#unconfirmed) {
@@ -200,7 +204,10 @@
     return this.#byService.get(service) ?? [];
   }
 
-  /** Returns this VM's latency samples of a service's servers since the last call. */
+  /**
+   * Returns this VM's latency samples of a service's servers since the last
+   * call.
+   */
   takeSamples(service: string, now: number): ServerSamples[] {
     return this.serversOf(service).flatMap((server) => {
       const samples = server.takeSamples(now);
@@ -222,7 +229,10 @@
     }
   }
 
-  /** Returns the rate limits that servers reported to this VM since the last call. */
+  /**
+   * Returns the rate limits that servers reported to this VM since the last
+   * call.
+   */
   takeUnsentRateLimits(now: number): ServerRateLimit[] {
     return this.all().flatMap(({ id, rateLimit }) => {
       const report = rateLimit.takeUnsent(now);
@@ -230,7 +240,10 @@
     });
   }
 
-  /** Returns all recent rate limit reports, including reports that a limit ended. */
+  /**
+   * Returns all recent rate limit reports, including reports that a limit
+   * ended.
+   */
   reportedRateLimits(now: number): ServerRateLimit[] {
     return this.all().flatMap(({ id, rateLimit }) => {
       const report = rateLimit.latestReport(now);
@@ -239,8 +252,8 @@
   }
 
   /**
-   * Applies rate limits that servers reported to other VMs. Returns those that came into
-   * force or ended.
+   * Applies rate limits that servers reported to other VMs. Returns those that
+   * came into force or ended.
    */
   applyPeerRateLimits(
     rateLimits: readonly ServerRateLimit[],
@@ -254,16 +267,16 @@
   }
 
   /**
-   * Returns when a server last joined a service, or -Infinity. A restarted server counts
-   * as newly joined, since it holds no keys.
+   * Returns when a server last joined a service, or -Infinity. A restarted
+   * server counts as newly joined, since it holds no keys.
    */
   joinedAt(service: string): number {
     return this.#joinedAt.get(service) ?? -Infinity;
   }
 
   /**
-   * Whether a server other than `id` is listed at `address`. That server may have ended
-   * already, since entries remain listed for a while.
+   * Whether a server other than `id` is listed at `address`. That server may
+   * have ended already, since entries remain listed for a while.
    */
   isAddressReused(address: string, id: string): boolean {
     for (const server of this.#servers.values()) {
@@ -273,8 +286,8 @@
   }
 
   /**
-   * Returns the mean of the known latencies of a service's servers, in milliseconds; 0
-   * if none is known.
+   * Returns the mean of the known latencies of a service's servers, in
+   * milliseconds; 0 if none is known.
    */
   meanLatency(service: string, now: number): number {
     const known = this.#meanLatencies.get(service);
@@ -313,8 +326,9 @@
       return;
     }
     const wasDraining = known.entry.isDraining;
-    // A process never stops draining. An entry that states otherwise is a delayed
-    // heartbeat; with it, requests would be sent to a server that is shutting down.
+    // A process never stops draining. An entry that states otherwise is a
+    // delayed heartbeat; with it, requests would be sent to a server that is
+    // shutting down.
     const isDraining = entry.isDraining || wasDraining;
     known.update({ ...entry, isDraining }, now);
     if (isDraining && !wasDraining) {
@@ -347,8 +361,8 @@
   }
 
   /**
-   * Schedules the removal of a server without a usable entry. An entry that is read by
-   * then cancels it.
+   * Schedules the removal of a server without a usable entry. An entry that is
+   * read by then cancels it.
    */
   #removeLater(id: string, now: number): void {
     if (!this.#servers.has(id) || this.#deferredRemovals.has(id)) return;
@@ -365,9 +379,9 @@
 }
 
 /**
- * Whether the server that wrote the entry `known` may also have written `next`. A server
- * never changes its service, and always reports its incarnation if it has done so once; a
- * different entry comes from another writer.
+ * Whether the server that wrote the entry `known` may also have written `next`.
+ * A server never changes its service, and always reports its incarnation if it
+ * has done so once; a different entry comes from another writer.
  */
 function mayBeFrom(known: BackendServer, next: BackendServer): boolean {
   const hasIncarnation = next.incarnation !== 0 || known.incarnation === 0;
--- a/src/core/fleet/fleet_test.ts
+++ b/src/core/fleet/fleet_test.ts
@@ -33,8 +33,8 @@
 });
 
 /**
- * A fleet with a server that was slow, unresponsive, full, failing and draining, and
- * was then listed with another incarnation.
+ * A fleet with a server that was slow, unresponsive, full, failing and
+ * draining, and was then listed with another incarnation.
  */
 function restartedFleet(): Fleet {
   const fleet = Fleet.create();
--- a/src/core/fleet/reported_rate_limit.ts
+++ b/src/core/fleet/reported_rate_limit.ts
@@ -1,7 +1,7 @@
 /**
- * The rate limit that a server reports with its responses: the maximum number of
- * requests per second from all VMs combined. It applies until the server stops reporting
- * it.
+ * The rate limit that a server reports with its responses: the maximum number
+ * of requests per second from all VMs combined. It applies until the server
+ * stops reporting it.
  *
  * @module
  */
@@ -14,8 +14,8 @@
 const MINIMUM_LIFETIME = 10_000;
 const MAXIMUM_LIFETIME = 60_000;
 /**
- * Lifetime in multiples of the interval between requests at the limit, so that a low
- * limit does not expire between two responses.
+ * Lifetime in multiples of the interval between requests at the limit, so that
+ * a low limit does not expire between two responses.
  */
 const INTERVALS_PER_LIFETIME = 4;
 /** Milliseconds in a second. */
@@ -36,18 +36,23 @@
 export type RateLimitChange = "limited" | "unlimited";
 
 /**
- * The rate limit of one server; see the module's comment. Times are milliseconds of this
- * VM's clock.
+ * The rate limit of one server; see the module's comment. Times are
+ * milliseconds of this VM's clock.
  */
 export class ReportedRateLimit {
   #requestsPerSecond: number | null = null;
-  /** When the response with the latest known report arrived, at whichever VM. */
+  /**
+   * When the response with the latest known report arrived, at whichever VM.
+   */
   #respondedAt = -Infinity;
   /** When a limit was last reported. */
   #limitedAt = -Infinity;
   /** When the limit that was last reported expires. */
   #expiresAt = -Infinity;
-  /** Whether this VM received the latest report and has not yet sent it to other VMs. */
+  /**
+   * Whether this VM received the latest report and has not yet sent it to other
+   * VMs.
+   */
   #isUnsent = false;
 
   private constructor() {}
@@ -58,10 +63,11 @@
   }
 
   /**
-   * Records the limit in the response to a request that was sent at `sentAt`, or null if
-   * the response reports none. Such a response is ignored if its request was sent before
-   * a limit was last reported, since the server may have created it before the limit
-   * applied. Returns whether a limit came into force or ended, or null.
+   * Records the limit in the response to a request that was sent at `sentAt`,
+   * or null if the response reports none. Such a response is ignored if its
+   * request was sent before a limit was last reported, since the server may
+   * have created it before the limit applied. Returns whether a limit came into
+   * force or ended, or null.
    */
   applyResponse(
     requestsPerSecond: number | null,
@@ -75,8 +81,8 @@
   }
 
   /**
-   * Applies a report that another VM received, unless it is older than the latest.
-   * Returns whether a limit came into force or ended, or null.
+   * Applies a report that another VM received, unless it is older than the
+   * latest. Returns whether a limit came into force or ended, or null.
    */
   applyPeerReport(
     { requestsPerSecond, age }: RateLimitReport,
@@ -92,7 +98,9 @@
     return this.#isRecent(now) ? this.#requestsPerSecond : null;
   }
 
-  /** Returns the latest report, or null if the last reported limit has expired. */
+  /**
+   * Returns the latest report, or null if the last reported limit has expired.
+   */
   latestReport(now: number): RateLimitReport | null {
     if (!this.#isRecent(now)) return null;
     const age = Math.max(0, now - this.#respondedAt);
@@ -100,8 +108,8 @@
   }
 
   /**
-   * Returns the latest report if the server sent it to this VM since the last call, or
-   * null.
+   * Returns the latest report if the server sent it to this VM since the last
+   * call, or null.
    */
   takeUnsent(now: number): RateLimitReport | null {
     if (!this.#isUnsent) return null;
--- a/src/core/fleet/reported_rate_limit_test.ts
+++ b/src/core/fleet/reported_rate_limit_test.ts
@@ -22,7 +22,8 @@
   t.is(rateLimit.applyResponse(6, 0, 20), "limited");
   t.is(rateLimit.applyResponse(5, 0, 30), null);
   t.is(rateLimit.current(40), 5);
-  // The request was sent before the limit was reported, so the response may predate it.
+  // The request was sent before the limit was reported, so the response may
+  // predate it.
   t.is(rateLimit.applyResponse(null, 25, 50), null);
   t.is(rateLimit.current(50), 5);
   t.is(rateLimit.applyResponse(null, 35, 60), "unlimited");
--- a/src/core/fleet/tracked_server.ts
+++ b/src/core/fleet/tracked_server.ts
@@ -1,7 +1,8 @@
 /**
- * One backend server with this VM's observations of it: load, latency, refusals and
- * failures. Routing relies on the outcomes of requests rather than on active health
- * checks, which would occupy one of the server's slots and may be wrong.
+ * One backend server with this VM's observations of it: load, latency, refusals
+ * and failures. Routing relies on the outcomes of requests rather than on
+ * active health checks, which would occupy one of the server's slots and may be
+ * wrong.
  *
  * @module
  */
@@ -11,33 +12,39 @@
 /** Weight of the newest sample in exponential moving averages. */
 const SAMPLE_WEIGHT = 0.2;
 /**
- * Time constant with which the assumed load from other VMs decays after a load report,
- * in milliseconds; about the duration of a request. Also the time for which a report
- * counts as recent.
+ * Time constant with which the assumed load from other VMs decays after a load
+ * report, in milliseconds; about the duration of a request. Also the time for
+ * which a report counts as recent.
  */
 const LOAD_DECAY_TIME = 300;
 /**
- * Time for which a load report to another VM is used, in milliseconds. The term holder
- * relays such reports, which takes half a second in each direction.
+ * Time for which a load report to another VM is used, in milliseconds. The term
+ * holder relays such reports, which takes half a second in each direction.
  */
 const LOAD_REPORT_LIFETIME = 2_000;
 /**
- * Initial pause after consecutive failures, in milliseconds. Each further failure
- * doubles it.
+ * Initial pause after consecutive failures, in milliseconds. Each further
+ * failure doubles it.
  */
 const INITIAL_PAUSE = 300;
 /**
- * Maximum of that pause, in milliseconds: a server that recovers is tried again within
- * this time.
+ * Maximum of that pause, in milliseconds: a server that recovers is tried again
+ * within this time.
  */
 const MAXIMUM_PAUSE = 3_000;
-/** Consecutive failures before a server is paused; a single one may be by chance. */
+/**
+ * Consecutive failures before a server is paused; a single one may be by
+ * chance.
+ */
 const FAILURES_TO_PAUSE = 2;
-/** Lower bound of the assumed share of accepted requests, so that costs stay finite. */
+/**
+ * Lower bound of the assumed share of accepted requests, so that costs stay
+ * finite.
+ */
 const MINIMUM_ACCEPTANCE_RATE = 0.05;
 /**
- * Time without a response after which a server counts as unresponsive: a multiple of
- * the mean latency, and the minimum in milliseconds.
+ * Time without a response after which a server counts as unresponsive: a
+ * multiple of the mean latency, and the minimum in milliseconds.
  */
 const UNRESPONSIVE_LATENCY_FACTOR = 4;
 const MINIMUM_UNRESPONSIVE_TIME = 250;
@@ -55,8 +62,8 @@
   /** Mean latency, in milliseconds. */
   mean: number;
   /**
-   * Number of measured responses; 0 if the server queued all requests before running
-   * them.
+   * Number of measured responses; 0 if the server queued all requests before
+   * running them.
    */
   count: number;
   /** The load that it reported with the last response, if any. */
@@ -64,10 +71,10 @@
 }
 
 /**
- * State of one backend server; see the module's comment. An instance belongs to one
- * incarnation of the server; the next one gets a new instance. The outcome of an attempt
- * that was not started on this instance belongs to the previous incarnation and is
- * ignored.
+ * State of one backend server; see the module's comment. An instance belongs to
+ * one incarnation of the server; the next one gets a new instance. The outcome
+ * of an attempt that was not started on this instance belongs to the previous
+ * incarnation and is ignored.
  */
 export class TrackedServer {
   /** When it was first listed as draining, or null. */
@@ -76,7 +83,10 @@
   evacuatedSince: number | null = null;
   /** Until when it is cold according to its entry. */
   #coldUntil = -Infinity;
-  /** When it may have restarted and become cold, which its entry may not show yet. */
+  /**
+   * When it may have restarted and become cold, which its entry may not show
+   * yet.
+   */
   #mayBeColdSince = -Infinity;
   /** Whether the last connection to its address was refused. */
   #isConnectionRefused = false;
@@ -85,24 +95,28 @@
   /** When it last refused a request or responded with a failure. */
   refusedAt = -Infinity;
   #latency: number | null = null;
-  /** Sum and number of this VM's samples since the last {@linkcode takeSamples}. */
+  /**
+   * Sum and number of this VM's samples since the last {@linkcode takeSamples}.
+   */
   #sampleSum = 0;
   #sampleCount = 0;
   #hasResponded = false;
-  /** Latest time at which some VM is known to have received a response from it. */
+  /**
+   * Latest time at which some VM is known to have received a response from it.
+   */
   lastSeenAt = -Infinity;
   #acceptanceRate = 1;
   #consecutiveFailures = 0;
   #pausedUntil = 0;
   /**
-   * Number of requests of other VMs according to its latest load report to this VM, and
-   * the time of that report.
+   * Number of requests of other VMs according to its latest load report to this
+   * VM, and the time of that report.
    */
   #othersLoad = 0;
   #ownReportAt = -Infinity;
   /**
-   * Number of requests in the latest load report to any VM, and the time of that
-   * report.
+   * Number of requests in the latest load report to any VM, and the time of
+   * that report.
    */
   #reportedRequests = 0;
   #reportedAt = -Infinity;
@@ -124,9 +138,9 @@
   }
 
   /**
-   * Moving average of its response times in milliseconds, or null if none is known.
-   * Responses while requests were queued are excluded, so that it measures the server's
-   * processing time without its queueing delay.
+   * Moving average of its response times in milliseconds, or null if none is
+   * known. Responses while requests were queued are excluded, so that it
+   * measures the server's processing time without its queueing delay.
    */
   get latency(): number | null {
     return this.#latency;
@@ -145,8 +159,8 @@
   }
 
   /**
-   * Sets whether its zone is evacuated. Once the zone is restored it may be cold, since
-   * it may have restarted in the meantime.
+   * Sets whether its zone is evacuated. Once the zone is restored it may be
+   * cold, since it may have restarted in the meantime.
    */
   setEvacuated(isEvacuated: boolean, now: number): void {
     if (isEvacuated) {
@@ -158,9 +172,10 @@
   }
 
   /**
-   * Whether it may be cold, that is, able to handle only few requests: it is warming up
-   * according to its entry, or may have restarted recently, which its entry shows late.
-   * A restarted server is cold for `duration` milliseconds.
+   * Whether it may be cold, that is, able to handle only few requests: it is
+   * warming up according to its entry, or may have restarted recently, which
+   * its entry shows late. A restarted server is cold for `duration`
+   * milliseconds.
    */
   isCold(now: number, duration: number): boolean {
     return this.#isConnectionRefused || now < this.#coldUntil ||
@@ -217,7 +232,10 @@
     if (samples.count > 0) this.#updateLatency(samples);
   }
 
-  /** Applies a load report that any VM received, unless it is older than the latest. */
+  /**
+   * Applies a load report that any VM received, unless it is older than the
+   * latest.
+   */
   applyLoadReport({ requests, age }: LoadReport, now: number): void {
     if (now - age <= this.#reportedAt) return;
     this.#reportedRequests = requests;
@@ -271,15 +289,17 @@
       Math.min(MAXIMUM_PAUSE, INITIAL_PAUSE * 2 ** doublings);
   }
 
-  /** Whether it should receive no requests for now after consecutive failures. */
+  /**
+   * Whether it should receive no requests for now after consecutive failures.
+   */
   isPaused(now: number): boolean {
     return now < this.#pausedUntil;
   }
 
   /**
-   * Whether the oldest request in flight was sent much longer than `meanLatency` ago and
-   * the server has responded to no request since then: the server is unreachable, hung or
-   * very slow.
+   * Whether the oldest request in flight was sent much longer than
+   * `meanLatency` ago and the server has responded to no request since then:
+   * the server is unreachable, hung or very slow.
    */
   isUnresponsive(now: number, meanLatency: number): boolean {
     const limit = Math.max(
@@ -297,7 +317,10 @@
     return now - this.#ownReportAt <= LOAD_DECAY_TIME;
   }
 
-  /** Returns the estimated number of requests from all VMs that it runs or has queued. */
+  /**
+   * Returns the estimated number of requests from all VMs that it runs or has
+   * queued.
+   */
   load(now: number): number {
     const age = Math.max(0, now - this.#ownReportAt);
     const others = this.#othersLoad * Math.exp(-age / LOAD_DECAY_TIME);
@@ -305,9 +328,9 @@
   }
 
   /**
-   * Estimates how many requests remain of those in its latest load report to another VM.
-   * It assumes that the server has processed requests since then and received no new
-   * ones, as VMs avoid a full server.
+   * Estimates how many requests remain of those in its latest load report to
+   * another VM. It assumes that the server has processed requests since then
+   * and received no new ones, as VMs avoid a full server.
    */
   #remainingReportedLoad(now: number): number {
     const age = now - this.#reportedAt;
@@ -317,8 +340,8 @@
   }
 
   /**
-   * Returns the expected response time of one more request in milliseconds, increased if
-   * the server refuses or fails a share of its requests.
+   * Returns the expected response time of one more request in milliseconds,
+   * increased if the server refuses or fails a share of its requests.
    */
   cost(now: number, meanLatency: number): number {
     const latency = this.#latency ?? meanLatency;
@@ -344,8 +367,8 @@
   }
 
   /**
-   * Ends an attempt. Returns when it was started, or null if it was not started on this
-   * instance.
+   * Ends an attempt. Returns when it was started, or null if it was not started
+   * on this instance.
    */
   #endAttempt(attempt: number): number | null {
     const startedAt = this.#startedAt.get(attempt);
--- a/src/core/quarantine/crash_detector.ts
+++ b/src/core/quarantine/crash_detector.ts
@@ -1,17 +1,18 @@
 /**
- * Detects crashes of server processes and attributes them to the requests that were in
- * progress there.
+ * Detects crashes of server processes and attributes them to the requests that
+ * were in progress there.
  *
- * A broken connection alone is no evidence of a crash: servers reset connections when
- * they are overloaded, close idle ones, lose responses and become unreachable. A request
- * whose connection broke is therefore recorded, and a crash is attributed to it only
- * once the server process is known to have exited: connections to its address are
- * refused, another process responds there, or the registry reports the removal or
- * restart of the server. The exit of a draining server is expected and is not a crash.
+ * A broken connection alone is no evidence of a crash: servers reset
+ * connections when they are overloaded, close idle ones, lose responses and
+ * become unreachable. A request whose connection broke is therefore recorded,
+ * and a crash is attributed to it only once the server process is known to have
+ * exited: connections to its address are refused, another process responds
+ * there, or the registry reports the removal or restart of the server. The exit
+ * of a draining server is expected and is not a crash.
  *
- * The registry takes seconds to report that a server has exited, and reports nothing
- * during an outage of the store. The address of a server is therefore probed as soon as
- * a connection to it breaks.
+ * The registry takes seconds to report that a server has exited, and reports
+ * nothing during an outage of the store. The address of a server is therefore
+ * probed as soon as a connection to it breaks.
  *
  * @module
  */
@@ -20,9 +21,9 @@
 import type { Quarantine } from "./quarantine.ts";
 
 /**
- * Time for which broken attempts and the exit of a process are kept, in milliseconds. It
- * exceeds the time of the few missed heartbeats after which a registry removes a
- * server's entry.
+ * Time for which broken attempts and the exit of a process are kept, in
+ * milliseconds. It exceeds the time of the few missed heartbeats after which a
+ * registry removes a server's entry.
  */
 const EVIDENCE_LIFETIME = 6_000;
 /** Maximum number of broken attempts that are kept per server. */
@@ -30,16 +31,17 @@
 /** Maximum number of servers for which state is kept. */
 const MAXIMUM_SERVERS = 1_024;
 /**
- * Initial and maximum pause between two probes of a server's address, in milliseconds.
- * It doubles with each successful probe, since a probe is a connection that the server
- * has to accept, and an overloaded server resets the connections of many requests.
+ * Initial and maximum pause between two probes of a server's address, in
+ * milliseconds. It doubles with each successful probe, since a probe is a
+ * connection that the server has to accept, and an overloaded server resets the
+ * connections of many requests.
  */
 const INITIAL_PROBE_PAUSE = 1_000;
 const MAXIMUM_PROBE_PAUSE = 16_000;
 
 /**
- * Effect that probes whether a server's address accepts connections. The result is the
- * event `server.checked`.
+ * Effect that probes whether a server's address accepts connections. The result
+ * is the event `server.checked`.
  */
 export interface ServerProbe {
   kind: "server.check";
@@ -57,7 +59,9 @@
   fingerprint: string;
 }
 
-/** A crash that is attributed to a request, which was in progress on the server. */
+/**
+ * A crash that is attributed to a request, which was in progress on the server.
+ */
 export interface CrashAttribution {
   request: BrokenRequest;
   server: string;
@@ -108,9 +112,9 @@
   }
 
   /**
-   * Records that the connection broke after a request was sent. Returns a probe of the
-   * server's address, or null if the exit of the server is already known or expected or
-   * its address was probed recently.
+   * Records that the connection broke after a request was sent. Returns a probe
+   * of the server's address, or null if the exit of the server is already known
+   * or expected or its address was probed recently.
    */
   connectionBroke(
     server: TrackedServer,
@@ -136,8 +140,8 @@
   }
 
   /**
-   * Records that the known process of a server has exited: its address refused a
-   * connection, or another process responded there.
+   * Records that the known process of a server has exited: its address refused
+   * a connection, or another process responded there.
    */
   exited(server: TrackedServer | undefined, now: number): void {
     if (server === undefined || server.entry.isDraining) return;
@@ -147,8 +151,8 @@
   }
 
   /**
-   * Records that a server's address accepted a probe: some process runs there, the known
-   * one or another.
+   * Records that a server's address accepted a probe: some process runs there,
+   * the known one or another.
    */
   probeSucceeded(server: string): void {
     const state = this.#states.get(server);
@@ -193,7 +197,10 @@
     this.reportCrash({ request, server, isNew });
   }
 
-  /** Returns the state of a server's current process, which it creates if necessary. */
+  /**
+   * Returns the state of a server's current process, which it creates if
+   * necessary.
+   */
   #currentState(server: TrackedServer, now: number): ProcessState {
     const { id, incarnation } = server.entry;
     const name = `${id}#${incarnation}`;
--- a/src/core/quarantine/crash_record.ts
+++ b/src/core/quarantine/crash_record.ts
@@ -1,12 +1,13 @@
 /**
- * Crash records. The record of a request lists the server processes that crashed while
- * they ran it. A server process is named by the server's id and incarnation, as in
- * `server-1#2`; the name is called a run in the records.
+ * Crash records. The record of a request lists the server processes that
+ * crashed while they ran it. A server process is named by the server's id and
+ * incarnation, as in `server-1#2`; the name is called a run in the records.
  *
- * Each VM stores its own copy of a record. Copies merge to the same result in any order
- * and any number of times, as in a conflict-free replicated data type: a process counts
- * once, however many VMs observed its crash, and a process that was excused (no longer
- * counts against the request) stays excused.
+ * Each VM stores its own copy of a record. Copies merge to the same result in
+ * any order and any number of times, as in a conflict-free replicated data
+ * type: a process counts once, however many VMs observed its crash, and a
+ * process that was excused (no longer counts against the request) stays
+ * excused.
  *
  * @module
  */
@@ -17,8 +18,8 @@
 /** Maximum length of the name of a server process, in characters. */
 const MAXIMUM_NAME_LENGTH = 300;
 /**
- * Maximum number of processes in each list of a record. More would not change whether
- * the request is quarantined.
+ * Maximum number of processes in each list of a record. More would not change
+ * whether the request is quarantined.
  */
 export const MAXIMUM_PROCESSES = 16;
 /** Maximum length of a record's target, in characters. */
@@ -35,13 +36,20 @@
   request: z.string().max(MAXIMUM_FINGERPRINT_LENGTH),
   /** Host and path, truncated; for operators. */
   target: z.string().max(MAXIMUM_TARGET_LENGTH),
-  /** Number of times that the request was released from a quarantine for a trial. */
+  /**
+   * Number of times that the request was released from a quarantine for a
+   * trial.
+   */
   round: z.number().int().nonnegative(),
-  /** Server processes that crashed while they ran the request, since its last release. */
+  /**
+   * Server processes that crashed while they ran the request, since its last
+   * release.
+   */
   runs: runsSchema,
   /**
-   * Server processes whose crashes no longer count against the request, because it was
-   * answered, another request was quarantined for them, or a trial began.
+   * Server processes whose crashes no longer count against the request, because
+   * it was answered, another request was quarantined for them, or a trial
+   * began.
    */
   excused: runsSchema,
   /** Milliseconds since the last crash that was recorded for the request. */
@@ -54,16 +62,18 @@
 export type CrashRecord = z.infer<typeof crashRecordSchema>;
 
 /**
- * Number of crashes at which a request is quarantined. Fewer are no proof: a harmless
- * request may run beside the harmful one on one or two servers that crash.
+ * Number of crashes at which a request is quarantined. Fewer are no proof: a
+ * harmless request may run beside the harmful one on one or two servers that
+ * crash.
  */
 const CRASH_LIMIT = 3;
 /** Number of crashes at which a request on trial is quarantined again. */
 const TRIAL_CRASH_LIMIT = 1;
 /**
- * Time in which all VMs learn that a request near its crash limit was answered, in
- * milliseconds: for the response itself, the report to the term holder, which may be
- * delayed by half a second, and the term holder's message to all VMs.
+ * Time in which all VMs learn that a request near its crash limit was answered,
+ * in milliseconds: for the response itself, the report to the term holder,
+ * which may be delayed by half a second, and the term holder's message to all
+ * VMs.
  */
 const RESPONSE_PROPAGATION_TIME = 1_000;
 /**
@@ -72,17 +82,17 @@
  */
 const RESPONSE_LIFETIME = 5_000;
 /**
- * Duration of a request's first quarantine, in milliseconds; doubles with each trial
- * that crashes a server again. For up to this time a request is also still refused after
- * its service was fixed.
+ * Duration of a request's first quarantine, in milliseconds; doubles with each
+ * trial that crashes a server again. For up to this time a request is also
+ * still refused after its service was fixed.
  */
 const INITIAL_QUARANTINE = 120_000;
 /** Maximum duration of a quarantine, in milliseconds. */
 const MAXIMUM_QUARANTINE = 3_600_000;
 /**
- * Time for which the record of a request that is not quarantined is kept after its last
- * crash, in milliseconds. A request whose retries are further apart is never quarantined
- * and crashes a server each time.
+ * Time for which the record of a request that is not quarantined is kept after
+ * its last crash, in milliseconds. A request whose retries are further apart is
+ * never quarantined and crashes a server each time.
  */
 const RECORD_LIFETIME = 600_000;
 
@@ -102,20 +112,23 @@
   answeredAt: number;
   /** Since when {@linkcode isNearLimit} is true; Infinity while it is false. */
   nearLimitSince: number;
-  /** Whether the request is quarantined, which lasts until {@linkcode quarantinedUntil}. */
+  /**
+   * Whether the request is quarantined, which lasts until
+   * {@linkcode quarantinedUntil}.
+   */
   isHeld: boolean;
   /** Revision of the quarantine at which this record last changed. */
   revision: number;
   /**
-   * Address of the VM that sent exactly this state, to which it need not be sent back;
-   * null if there is none.
+   * Address of the VM that sent exactly this state, to which it need not be
+   * sent back; null if there is none.
    */
   receivedFrom: string | null;
 }
 
 /**
- * Whether a request has reached its crash limit: the number of crashes at which it is
- * quarantined.
+ * Whether a request has reached its crash limit: the number of crashes at which
+ * it is quarantined.
  */
 export function hasReachedLimit({ round, runs }: RequestCrashes): boolean {
   const limit = round === 0 ? CRASH_LIMIT : TRIAL_CRASH_LIMIT;
@@ -123,18 +136,18 @@
 }
 
 /**
- * Whether a request is near its crash limit: one more crash reaches it, or it is
- * reached. A request on trial is near its limit only once it has reached it.
+ * Whether a request is near its crash limit: one more crash reaches it, or it
+ * is reached. A request on trial is near its limit only once it has reached it.
  */
 export function isNearLimit({ round, runs }: RequestCrashes): boolean {
   return runs.length >= (round === 0 ? CRASH_LIMIT - 1 : TRIAL_CRASH_LIMIT);
 }
 
 /**
- * When a request that has reached its crash limit is quarantined, unless it is answered
- * before. A harmless request that many callers send at once may be in progress on each
- * server that crashes, while other servers answer it. The delay is long enough for all
- * VMs to learn of such a response.
+ * When a request that has reached its crash limit is quarantined, unless it is
+ * answered before. A harmless request that many callers send at once may be in
+ * progress on each server that crashes, while other servers answer it. The
+ * delay is long enough for all VMs to learn of such a response.
  */
 export function quarantinedFrom({ nearLimitSince }: RequestCrashes): number {
   return nearLimitSince + RESPONSE_PROPAGATION_TIME;
@@ -159,8 +172,9 @@
 }
 
 /**
- * Whether a record is replicated to all VMs: its request is or was quarantined or near
- * its crash limit. A response that any VM receives then clears the request on all VMs.
+ * Whether a record is replicated to all VMs: its request is or was quarantined
+ * or near its crash limit. A response that any VM receives then clears the
+ * request on all VMs.
  */
 export function isReplicated(
   { round, runs, excused }: RequestCrashes,
@@ -169,9 +183,9 @@
 }
 
 /**
- * Whether a request was answered so recently that crashes do not count against it. A
- * harmless request that many callers send may be in progress on each server that
- * crashes.
+ * Whether a request was answered so recently that crashes do not count against
+ * it. A harmless request that many callers send may be in progress on each
+ * server that crashes.
  */
 export function isRecentlyAnswered(
   { answeredAt }: RequestCrashes,
@@ -213,8 +227,9 @@
 }
 
 /**
- * Whether record `a` is evicted before record `b` when there are too many records: those
- * of quarantined requests go last, otherwise the one with the oldest crash goes first.
+ * Whether record `a` is evicted before record `b` when there are too many
+ * records: those of quarantined requests go last, otherwise the one with the
+ * oldest crash goes first.
  */
 export function isEvictedBefore(a: RequestCrashes, b: RequestCrashes): boolean {
   if (a.isHeld !== b.isHeld) return b.isHeld;
@@ -258,7 +273,10 @@
   return digest >>> 0;
 }
 
-/** FNV-1a hash, which is not collision-resistant against deliberately chosen inputs. */
+/**
+ * FNV-1a hash, which is not collision-resistant against deliberately chosen
+ * inputs.
+ */
 function hash32(text: string): number {
   let hash = 0x811c9dc5;
   for (let i = 0; i < text.length; i++) {
--- a/src/core/quarantine/fingerprint.ts
+++ b/src/core/quarantine/fingerprint.ts
@@ -1,12 +1,13 @@
 /**
- * Fingerprints that identify a request by its method, host, path, query and body. Retries
- * of a request have the same fingerprint, whatever their connection, VM and request id.
- * The network address of the client is not part of it either: callers have clients in
- * several availability zones, each with its own address.
+ * Fingerprints that identify a request by its method, host, path, query and
+ * body. Retries of a request have the same fingerprint, whatever their
+ * connection, VM and request id. The network address of the client is not part
+ * of it either: callers have clients in several availability zones, each with
+ * its own address.
  *
- * Each part is a SHA-256 digest truncated to 96 bits, so that no caller can construct a
- * request with the fingerprint of another one. Digests are computed lazily: most
- * requests never need theirs, and a body is hashed at most once.
+ * Each part is a SHA-256 digest truncated to 96 bits, so that no caller can
+ * construct a request with the fingerprint of another one. Digests are computed
+ * lazily: most requests never need theirs, and a body is hashed at most once.
  *
  * @module
  */
@@ -39,8 +40,8 @@
   }
 
   /**
-   * Digest of method, host, path and query, without the body: cheap to compute, and
-   * enough to tell most requests apart.
+   * Digest of method, host, path and query, without the body: cheap to compute,
+   * and enough to tell most requests apart.
    */
   get head(): string {
     const { method, host, target } = this.parts;
@@ -48,8 +49,8 @@
   }
 
   /**
-   * Digest of the whole request: {@linkcode head}, followed by the digest of the body
-   * unless the body is empty.
+   * Digest of the whole request: {@linkcode head}, followed by the digest of
+   * the body unless the body is empty.
    */
   get complete(): string {
     return this.#complete ??= this.#compute();
--- a/src/core/quarantine/permit_issuer.ts
+++ b/src/core/quarantine/permit_issuer.ts
@@ -1,21 +1,21 @@
 /**
- * Issues the permits to run a request that has crashed a server. Only one copy of such a
- * request may run at a time ({@linkcode RunPermits}).
+ * Issues the permits to run a request that has crashed a server. Only one copy
+ * of such a request may run at a time ({@linkcode RunPermits}).
  *
- * Permits are issued by the VM that was last announced as term holder, even if its
- * authority to give orders to servers has expired. That is safe because a permit is no
- * such order, and necessary because no VM keeps this authority for long during an outage
- * of the store. A new issuer does not know the permits of the previous one, so it issues
- * none until they have expired.
+ * Permits are issued by the VM that was last announced as term holder, even if
+ * its authority to give orders to servers has expired. That is safe because a
+ * permit is no such order, and necessary because no VM keeps this authority for
+ * long during an outage of the store. A new issuer does not know the permits of
+ * the previous one, so it issues none until they have expired.
  *
  * @module
  */
 import { MAXIMUM_PERMIT, type PermitAnswer } from "./run_permits.ts";
 
 /**
- * Number of consecutive crashes of a request with permits after which no further permit
- * is issued until the last one has expired. By then all VMs know of the crashes and have
- * quarantined the request if it causes them.
+ * Number of consecutive crashes of a request with permits after which no
+ * further permit is issued until the last one has expired. By then all VMs know
+ * of the crashes and have quarantined the request if it causes them.
  */
 const MAXIMUM_CONSECUTIVE_CRASHES = 2;
 /** Maximum number of issued permits; limits memory. */
@@ -34,7 +34,9 @@
 export class PermitIssuer {
   /** Permits by the request's complete fingerprint. */
   readonly #issued = new Map<string, IssuedPermit>();
-  /** Time from which permits are issued; Infinity while the issuer is inactive. */
+  /**
+   * Time from which permits are issued; Infinity while the issuer is inactive.
+   */
   #activeFrom = Infinity;
 
   private constructor() {}
@@ -57,8 +59,8 @@
   }
 
   /**
-   * Answers the VM at `address`, which requests a permit for `duration` milliseconds.
-   * `request` is the complete fingerprint.
+   * Answers the VM at `address`, which requests a permit for `duration`
+   * milliseconds. `request` is the complete fingerprint.
    */
   issue(
     request: string,
@@ -85,8 +87,8 @@
   }
 
   /**
-   * Releases the permit of the VM at `address`. `hasCrashed` states whether the copy
-   * with the permit crashed a server.
+   * Releases the permit of the VM at `address`. `hasCrashed` states whether the
+   * copy with the permit crashed a server.
    */
   release(request: string, address: string, hasCrashed: boolean): void {
     const issued = this.#issued.get(request);
--- a/src/core/quarantine/quarantine.ts
+++ b/src/core/quarantine/quarantine.ts
@@ -1,13 +1,14 @@
 /**
  * The quarantine: refuses requests that repeatedly crash backend servers.
  *
- * A crash counts against each request that was in progress on the server, since any of
- * them may have caused it. A request that was in progress on three server processes when
- * they crashed is quarantined: all VMs refuse it immediately, whichever of them observed
- * the crashes. A response to a request clears the request: its past crashes no longer
- * count. When a request is quarantined, its crashes no longer count against the other
- * requests. A quarantined request is released for a trial after some time, so that it
- * is not refused forever after its service was fixed.
+ * A crash counts against each request that was in progress on the server, since
+ * any of them may have caused it. A request that was in progress on three
+ * server processes when they crashed is quarantined: all VMs refuse it
+ * immediately, whichever of them observed the crashes. A response to a request
+ * clears the request: its past crashes no longer count. When a request is
+ * quarantined, its crashes no longer count against the other requests. A
+ * quarantined request is released for a trial after some time, so that it is
+ * not refused forever after its service was fixed.
  *
  * ```ts
  * quarantine.recordCrash(fingerprint.complete, "h/path", "server-1#0", now);
@@ -40,23 +41,23 @@
 } from "./crash_record.ts";
 
 /**
- * Maximum number of records. {@linkcode isEvictedBefore} defines which one is evicted
- * when there are more.
+ * Maximum number of records. {@linkcode isEvictedBefore} defines which one is
+ * evicted when there are more.
  */
 const MAXIMUM_RECORDS = 4_096;
 /** Minimum time between two checks of all records, in milliseconds. */
 const CHECK_INTERVAL = 100;
 /**
- * Maximum number of records that are replicated to all VMs, and of those in one message
- * to another VM.
+ * Maximum number of records that are replicated to all VMs, and of those in one
+ * message to another VM.
  */
 const MAXIMUM_SENT_RECORDS = 256;
 
 /** A change of a request's state, for the log. */
 export interface QuarantineChange {
   /**
-   * Whether the request was quarantined (`held`), cleared by a response, or released for
-   * a trial (`tried`).
+   * Whether the request was quarantined (`held`), cleared by a response, or
+   * released for a trial (`tried`).
    */
   kind: "held" | "cleared" | "tried";
   crashes: RequestCrashes;
@@ -67,8 +68,9 @@
   /** Records by the request's complete fingerprint. */
   readonly #records = new Map<string, RequestCrashes>();
   /**
-   * Complete fingerprints of the records by their heads. A request whose head is
-   * missing here has no record, so its body need not be hashed to look it up.
+   * Complete fingerprints of the records by their heads. A request whose head
+   * is missing here has no record, so its body need not be hashed to look it
+   * up.
    */
   readonly #byHead = new Map<string, Set<string>>();
   #revision = 0;
@@ -94,8 +96,8 @@
   }
 
   /**
-   * {@linkcode revision} after the last change that this VM observed itself, rather than
-   * received from another VM.
+   * {@linkcode revision} after the last change that this VM observed itself,
+   * rather than received from another VM.
    */
   get ownRevision(): number {
     return this.#ownRevision;
@@ -107,8 +109,9 @@
   }
 
   /**
-   * Records that a server process crashed while it ran a request, which is identified by
-   * its complete fingerprint. Returns whether this crash was not known before.
+   * Records that a server process crashed while it ran a request, which is
+   * identified by its complete fingerprint. Returns whether this crash was not
+   * known before.
    */
   recordCrash(
     request: string,
@@ -138,19 +141,25 @@
   }
 
   /**
-   * Whether there is a record of a request: a server has crashed while it ran the
-   * request, even if that crash no longer counts.
+   * Whether there is a record of a request: a server has crashed while it ran
+   * the request, even if that crash no longer counts.
    */
   hasRecord(fingerprint: Fingerprint): boolean {
     return this.#find(fingerprint) !== undefined;
   }
 
-  /** Number of crashes that count against a request, by its complete fingerprint. */
+  /**
+   * Number of crashes that count against a request, by its complete
+   * fingerprint.
+   */
   crashCountOf(request: string): number {
     return this.#records.get(request)?.runs.length ?? 0;
   }
 
-  /** Describes the quarantine of a request; null if the request is not quarantined. */
+  /**
+   * Describes the quarantine of a request; null if the request is not
+   * quarantined.
+   */
   hold(fingerprint: Fingerprint, now: number): Hold | null {
     const crashes = this.#find(fingerprint);
     if (crashes === undefined || !hasReachedLimit(crashes)) return null;
@@ -158,7 +167,10 @@
     return crashes.isHeld ? holdOf(crashes, now) : null;
   }
 
-  /** Records that a server answered a request, so that its past crashes no longer count. */
+  /**
+   * Records that a server answered a request, so that its past crashes no
+   * longer count.
+   */
   clear(fingerprint: Fingerprint, now: number): void {
     const crashes = this.#find(fingerprint);
     if (crashes === undefined) return;
@@ -176,16 +188,17 @@
   }
 
   /**
-   * Increases when a request gets near its crash limit, is quarantined, or is no longer
-   * near its limit, which changes {@linkcode persistentRecords}.
+   * Increases when a request gets near its crash limit, is quarantined, or is
+   * no longer near its limit, which changes {@linkcode persistentRecords}.
    */
   get persistentRevision(): number {
     return this.#persistentRevision;
   }
 
   /**
-   * Records of requests that are quarantined or near their crash limit. They are stored
-   * persistently, so that the crashes still count after a failure of all VMs.
+   * Records of requests that are quarantined or near their crash limit. They
+   * are stored persistently, so that the crashes still count after a failure of
+   * all VMs.
    */
   persistentRecords(now: number): CrashRecord[] {
     return this.#replicated().filter((each) => each.isHeld || isNearLimit(each))
@@ -200,8 +213,9 @@
   }
 
   /**
-   * Records that changed after `revision`, newest first, except those whose current
-   * state the VM at `address` sent itself. At most {@linkcode MAXIMUM_SENT_RECORDS}.
+   * Records that changed after `revision`, newest first, except those whose
+   * current state the VM at `address` sent itself. At most
+   * {@linkcode MAXIMUM_SENT_RECORDS}.
    */
   changesSince(
     revision: number,
@@ -224,9 +238,9 @@
   }
 
   /**
-   * Replicated records and the newest records with a single crash, for a VM that has
-   * just started. It then requests a permit for these requests, of which only one copy
-   * may run at a time.
+   * Replicated records and the newest records with a single crash, for a VM
+   * that has just started. It then requests a permit for these requests, of
+   * which only one copy may run at a time.
    */
   startupRecords(now: number): CrashRecord[] {
     const replicated = this.#replicated();
@@ -237,7 +251,9 @@
       .map((each) => toRecord(each, now));
   }
 
-  /** Merges records from another VM, whose address is `address` if it is known. */
+  /**
+   * Merges records from another VM, whose address is `address` if it is known.
+   */
   merge(
     records: readonly CrashRecord[],
     now: number,
@@ -247,8 +263,9 @@
   }
 
   /**
-   * Checks all records: quarantines requests that have reached their crash limit,
-   * releases quarantined requests for a trial, and removes expired records.
+   * Checks all records: quarantines requests that have reached their crash
+   * limit, releases quarantined requests for a trial, and removes expired
+   * records.
    */
   advance(now: number): void {
     if (now - this.#checkedAt < CHECK_INTERVAL) return;
@@ -295,8 +312,8 @@
       this.#excuse(crashes, crashes.runs, now);
       this.#ownRevision = this.#revision;
     }
-    // The sender has already waited for responses before it quarantined the request, so
-    // it is quarantined here without a further delay.
+    // The sender has already waited for responses before it quarantined the
+    // request, so it is quarantined here without a further delay.
     if (record.isHeld && hasReachedLimit(crashes)) {
       crashes.nearLimitSince = -Infinity;
     }
@@ -336,9 +353,9 @@
   }
 
   /**
-   * Stops counting the crashes of a quarantined request against other requests. Requests
-   * that have reached their own crash limit are excepted, since they may be the cause as
-   * well.
+   * Stops counting the crashes of a quarantined request against other requests.
+   * Requests that have reached their own crash limit are excepted, since they
+   * may be the cause as well.
    */
   #excuseOthers(quarantined: RequestCrashes, now: number): void {
     for (const crashes of this.#records.values()) {
--- a/src/core/quarantine/quarantine_test.ts
+++ b/src/core/quarantine/quarantine_test.ts
@@ -11,7 +11,10 @@
 const MINUTE = 60_000;
 const HOUR = 60 * MINUTE;
 
-/** A quarantine in which the harmful request crashed `crashes` servers at time 0. */
+/**
+ * A quarantine in which the harmful request crashed `crashes` servers at time
+ * 0.
+ */
 function quarantineAfter(crashes: number): Quarantine {
   const quarantine = Quarantine.create();
   for (let i = 0; i < crashes; i++) {
@@ -165,8 +168,8 @@
   quarantine.clear(HARMFUL, 10);
   quarantine.recordCrash(HARMFUL.complete, "h/harmful", "s-7#1", 2_000);
   t.is(quarantine.crashCount(HARMFUL), 0);
-  // The same applies to a crash that another VM reports. That VM then learns of the
-  // response from the merged records.
+  // The same applies to a crash that another VM reports. That VM then learns of
+  // the response from the merged records.
   const other = quarantineAfter(2);
   quarantine.merge(other.startupRecords(3_000), 3_000);
   t.is(quarantine.crashCount(HARMFUL), 0);
--- a/src/core/quarantine/run_permits.ts
+++ b/src/core/quarantine/run_permits.ts
@@ -1,13 +1,14 @@
 /**
- * Permits to run a request that has crashed a server, so that all VMs together run one
- * copy of it at a time.
+ * Permits to run a request that has crashed a server, so that all VMs together
+ * run one copy of it at a time.
  *
- * Callers send copies of a request through all VMs. While the server of its key is
- * unavailable, the copies are queued; afterwards all of them are sent to the next server
- * at once. Each crash would therefore affect several copies, however low the crash limit
- * of the quarantine is. So after the first crash each copy needs a permit, until some VM
- * receives a response to the request. The term holder issues one permit for a request at
- * a time ({@linkcode PermitIssuer}); this module requests permits and stores those of
+ * Callers send copies of a request through all VMs. While the server of its key
+ * is unavailable, the copies are queued; afterwards all of them are sent to the
+ * next server at once. Each crash would therefore affect several copies,
+ * however low the crash limit of the quarantine is. So after the first crash
+ * each copy needs a permit, until some VM receives a response to the request.
+ * The term holder issues one permit for a request at a time
+ * ({@linkcode PermitIssuer}); this module requests permits and stores those of
  * this VM.
  *
  * @module
@@ -15,23 +16,26 @@
 import * as z from "zod";
 
 /**
- * Maximum validity of a permit, in milliseconds. A copy that a server runs for longer
- * may still be running when the next copy gets a permit.
+ * Maximum validity of a permit, in milliseconds. A copy that a server runs for
+ * longer may still be running when the next copy gets a permit.
  */
 export const MAXIMUM_PERMIT = 2_000;
 /** Timeout of a permit request, in milliseconds. */
 const ANSWER_TIMEOUT = 250;
 /**
- * Maximum time for which a denial applies, in milliseconds. It is short because the
- * permit of the other copy may be released long before it expires, and limits how often
- * this VM repeats its permit request.
+ * Maximum time for which a denial applies, in milliseconds. It is short because
+ * the permit of the other copy may be released long before it expires, and
+ * limits how often this VM repeats its permit request.
  */
 const MAXIMUM_DENIAL = 200;
-/** Time after a permit request timed out in which it is not repeated, in milliseconds. */
+/**
+ * Time after a permit request timed out in which it is not repeated, in
+ * milliseconds.
+ */
 const TIMEOUT_PAUSE = 500;
 /**
- * Maximum number of requests whose permits are kept. No permits are requested for
- * further ones.
+ * Maximum number of requests whose permits are kept. No permits are requested
+ * for further ones.
  */
 const MAXIMUM_PERMITS = 1_024;
 
@@ -48,8 +52,8 @@
 /** Sends permit requests and releases of this VM to the issuer. */
 export interface PermitChannel {
   /**
-   * Requests a permit for a request by its complete fingerprint. Returns the answer if
-   * it is available at once, or null if it will be passed to
+   * Requests a permit for a request by its complete fingerprint. Returns the
+   * answer if it is available at once, or null if it will be passed to
    * {@linkcode RunPermits.applyAnswer}.
    */
   requestPermit(
@@ -58,8 +62,8 @@
     now: number,
   ): PermitAnswer | null;
   /**
-   * Releases a permit before it expires. `hasCrashed` states whether the copy with the
-   * permit crashed a server.
+   * Releases a permit before it expires. `hasCrashed` states whether the copy
+   * with the permit crashed a server.
    */
   release(request: string, hasCrashed: boolean): void;
 }
@@ -70,7 +74,8 @@
   /** A permit request is pending; it times out at `until`. */
   | { kind: "asked"; until: number }
   /**
-   * Another copy runs, or no issuer can rule that out. Applies for `left` milliseconds.
+   * Another copy runs, or no issuer can rule that out. Applies for `left`
+   * milliseconds.
    */
   | { kind: "denied"; left: number };
 
@@ -79,7 +84,9 @@
   /** Request id that the caller assigned to the copy. */
   copy: string;
   state: Permission["kind"];
-  /** When the permit expires, the permit request times out or the denial ends. */
+  /**
+   * When the permit expires, the permit request times out or the denial ends.
+   */
   until: number;
 }
 
@@ -96,9 +103,9 @@
   }
 
   /**
-   * Whether a copy may run for up to `duration` milliseconds; requests a permit if
-   * necessary. `request` is the complete fingerprint, and `copy` is the request id of the
-   * copy.
+   * Whether a copy may run for up to `duration` milliseconds; requests a permit
+   * if necessary. `request` is the complete fingerprint, and `copy` is the
+   * request id of the copy.
    */
   check(
     request: string,
@@ -132,8 +139,8 @@
   }
 
   /**
-   * Records the end of a copy, and releases its permit unless the copy may still run on
-   * a server.
+   * Records the end of a copy, and releases its permit unless the copy may
+   * still run on a server.
    */
   copyEnded(request: string, copy: string, mayStillRun: boolean): void {
     const permit = this.#permits.get(request);
@@ -144,7 +151,10 @@
     if (isGranted) this.channel.release(request, false);
   }
 
-  /** Records that a server crashed while it ran a copy, and releases the copy's permit. */
+  /**
+   * Records that a server crashed while it ran a copy, and releases the copy's
+   * permit.
+   */
   serverCrashed(request: string, copy: string): void {
     const permit = this.#permits.get(request);
     if (permit?.copy !== copy || permit.state !== "granted") return;
@@ -153,8 +163,8 @@
   }
 
   /**
-   * Returns the permit of a request if it has not expired, or null. A permit request
-   * that has timed out counts as denied for {@linkcode TIMEOUT_PAUSE}.
+   * Returns the permit of a request if it has not expired, or null. A permit
+   * request that has timed out counts as denied for {@linkcode TIMEOUT_PAUSE}.
    */
   #current(request: string, now: number): Permit | null {
     const permit = this.#permits.get(request);
--- a/src/core/rates/rate_share.ts
+++ b/src/core/rates/rate_share.ts
@@ -1,10 +1,11 @@
 /**
- * Spaces the requests of one VM to a server, so that all VMs together stay within a rate
- * without coordination.
+ * Spaces the requests of one VM to a server, so that all VMs together stay
+ * within a rate without coordination.
  *
- * Each VM sends at an equal share of the rate: the rate divided by the number of VMs. Its
- * first request is delayed by a random part of the interval, so that VMs that learn of a
- * server at the same time do not send to it at the same time.
+ * Each VM sends at an equal share of the rate: the rate divided by the number
+ * of VMs. Its first request is delayed by a random part of the interval, so
+ * that VMs that learn of a server at the same time do not send to it at the
+ * same time.
  *
  * @module
  */
@@ -25,12 +26,14 @@
   }
 
   /**
-   * Whether this VM may send a request to a server now, at one request per `interval`
-   * milliseconds. The first call for a server schedules its first request.
+   * Whether this VM may send a request to a server now, at one request per
+   * `interval` milliseconds. The first call for a server schedules its first
+   * request.
    */
   maySend(server: string, interval: number, now: number): boolean {
     const known = this.#nextAt.get(server);
-    // A time more than an interval ago stems from an earlier rate limit of the server.
+    // A time more than an interval ago stems from an earlier rate limit of the
+    // server.
     if (known !== undefined && now < known + interval) return now >= known;
     if (this.#nextAt.size >= MAXIMUM_SERVERS) this.#evictOldest();
     this.#nextAt.set(server, now + this.draw() * interval);
--- a/src/core/rates/rate_tokens.ts
+++ b/src/core/rates/rate_tokens.ts
@@ -2,9 +2,10 @@
  * Keeps the requests of all VMs to a rate-limited server within its limit.
  *
  * Each request to such a server uses a token that the term holder has granted
- * ({@linkcode TokenBuckets}). Fixed shares per VM would leave most of a low limit unused
- * when there are many VMs or their loads differ. A VM therefore uses a fixed share
- * ({@linkcode RateShare}) only while the term holder does not answer.
+ * ({@linkcode TokenBuckets}). Fixed shares per VM would leave most of a low
+ * limit unused when there are many VMs or their loads differ. A VM therefore
+ * uses a fixed share ({@linkcode RateShare}) only while the term holder does
+ * not answer.
  *
  * ```ts
  * switch (tokens.check(server, isUrgent, now).kind) {
@@ -22,21 +23,24 @@
 /** Timeout of a token request, in milliseconds. */
 const ANSWER_TIMEOUT = 250;
 /**
- * Time for which a VM uses its share after a token request timed out or could not be
- * sent, in milliseconds.
+ * Time for which a VM uses its share after a token request timed out or could
+ * not be sent, in milliseconds.
  */
 const SHARE_DURATION = 1_000;
 /**
- * Time for which a granted token is valid, in milliseconds. Another request may use it
- * if the one that needed it has ended.
+ * Time for which a granted token is valid, in milliseconds. Another request may
+ * use it if the one that needed it has ended.
  */
 const TOKEN_LIFETIME = 1_000;
 /**
- * Maximum time for which a denial applies, in milliseconds, since the limit may change
- * in the meantime.
+ * Maximum time for which a denial applies, in milliseconds, since the limit may
+ * change in the meantime.
  */
 const MAXIMUM_DENIAL = 500;
-/** Number of VMs that are assumed to share a server while the actual number is unknown. */
+/**
+ * Number of VMs that are assumed to share a server while the actual number is
+ * unknown.
+ */
 const ASSUMED_VM_COUNT = 64;
 /** Number of servers from which on expired states are removed. */
 const MAXIMUM_SERVERS = 1_024;
@@ -46,10 +50,10 @@
 /** Sends token requests of this VM to the term holder. */
 export interface TokenChannel {
   /**
-   * Requests a token for a server. Returns the answer if it is available at once, null
-   * if it will be passed to {@linkcode RateTokens.applyAnswer}, or "unreachable" if no
-   * token can be requested, for example without a known term holder. `isUrgent` permits
-   * the use of the reserved token.
+   * Requests a token for a server. Returns the answer if it is available at
+   * once, null if it will be passed to {@linkcode RateTokens.applyAnswer}, or
+   * "unreachable" if no token can be requested, for example without a known
+   * term holder. `isUrgent` permits the use of the reserved token.
    */
   requestToken(
     server: TrackedServer,
@@ -71,7 +75,9 @@
   | { kind: "asked"; until: number; isUrgent: boolean }
   | { kind: "granted"; until: number }
   | { kind: "denied"; until: number; isUrgent: boolean }
-  /** The term holder did not answer or is unreachable; this VM uses its share. */
+  /**
+   * The term holder did not answer or is unreachable; this VM uses its share.
+   */
   | { kind: "shared"; until: number };
 
 /** See the module's comment. Times are milliseconds of this VM's clock. */
@@ -89,9 +95,9 @@
   }
 
   /**
-   * Starts without tokens. They are requested over `channel`; while the term holder does
-   * not answer, the rate is divided among `vmCount` VMs (null when unknown). `draw`
-   * returns random numbers in [0, 1).
+   * Starts without tokens. They are requested over `channel`; while the term
+   * holder does not answer, the rate is divided among `vmCount` VMs (null when
+   * unknown). `draw` returns random numbers in [0, 1).
    */
   static create(
     channel: TokenChannel,
@@ -106,7 +112,10 @@
     return server.rateLimit.current(now) !== null;
   }
 
-  /** Whether a request may be sent to a server now, without requesting a token first. */
+  /**
+   * Whether a request may be sent to a server now, without requesting a token
+   * first.
+   */
   isReady(server: TrackedServer, now: number): boolean {
     const limit = server.rateLimit.current(now);
     if (limit === null) return true;
@@ -117,9 +126,9 @@
   }
 
   /**
-   * Whether a token for a server should be requested: the server has a rate limit, and
-   * no token is granted, requested or denied. For an urgent request, the denial of a
-   * token for a less urgent one does not count.
+   * Whether a token for a server should be requested: the server has a rate
+   * limit, and no token is granted, requested or denied. For an urgent request,
+   * the denial of a token for a less urgent one does not count.
    */
   mayRequest(server: TrackedServer, isUrgent: boolean, now: number): boolean {
     if (!this.isLimited(server, now)) return false;
@@ -128,7 +137,9 @@
     return state.kind === "none";
   }
 
-  /** Time until which tokens for a server are denied; -Infinity if they are not. */
+  /**
+   * Time until which tokens for a server are denied; -Infinity if they are not.
+   */
   deniedUntil(server: TrackedServer, now: number): number {
     if (!this.isLimited(server, now)) return -Infinity;
     const state = this.#current(server.id, now);
@@ -136,8 +147,8 @@
   }
 
   /**
-   * Whether a request may be sent to a server now; requests a token if necessary.
-   * `isUrgent` permits the use of the reserved token.
+   * Whether a request may be sent to a server now; requests a token if
+   * necessary. `isUrgent` permits the use of the reserved token.
    */
   check(server: TrackedServer, isUrgent: boolean, now: number): Admission {
     const limit = server.rateLimit.current(now);
@@ -167,7 +178,10 @@
     }
   }
 
-  /** Records that a request was sent to a server, which uses the token or the share. */
+  /**
+   * Records that a request was sent to a server, which uses the token or the
+   * share.
+   */
   requestSent(server: TrackedServer, now: number): void {
     const limit = server.rateLimit.current(now);
     if (limit === null) return;
@@ -197,8 +211,9 @@
   }
 
   /**
-   * Returns the state of a server, in which expired tokens and denials no longer count
-   * and a token request that timed out has led to the use of the share.
+   * Returns the state of a server, in which expired tokens and denials no
+   * longer count and a token request that timed out has led to the use of the
+   * share.
    */
   #current(server: string, now: number): TokenState {
     const state = this.#states.get(server);
@@ -225,7 +240,10 @@
     return this.check(server, isUrgent, now);
   }
 
-  /** Time between two requests of this VM at its share of a limit, in milliseconds. */
+  /**
+   * Time between two requests of this VM at its share of a limit, in
+   * milliseconds.
+   */
   #interval(requestsPerSecond: number): number {
     return MILLISECONDS_PER_SECOND * (this.vmCount() ?? ASSUMED_VM_COUNT) /
       requestsPerSecond;
--- a/src/core/rates/rate_tokens_test.ts
+++ b/src/core/rates/rate_tokens_test.ts
@@ -57,7 +57,8 @@
   });
   tokens.check(server, false, 199);
   t.deepEqual(requested, [false]);
-  // The denial does not apply to urgent requests, for which a token is reserved.
+  // The denial does not apply to urgent requests, for which a token is
+  // reserved.
   tokens.check(server, true, 199);
   t.deepEqual(requested, [false, true]);
 });
--- a/src/core/rates/token_bucket.ts
+++ b/src/core/rates/token_bucket.ts
@@ -1,17 +1,19 @@
 /**
- * Token buckets that limit the rate of the requests that all VMs together send to each
- * rate-limited server. The term holder maintains them.
+ * Token buckets that limit the rate of the requests that all VMs together send
+ * to each rate-limited server. The term holder maintains them.
  *
- * Implements the generic cell rate algorithm: a bucket is represented by the time at
- * which it is full again if no token is taken (its theoretical arrival time).
+ * Implements the generic cell rate algorithm: a bucket is represented by the
+ * time at which it is full again if no token is taken (its theoretical arrival
+ * time).
  *
  * @module
  */
 import * as z from "zod";
 
 /**
- * Time for which unused tokens accumulate, in milliseconds. The burst absorbs random
- * variation of arrivals, which would otherwise cause both idle time and refusals.
+ * Time for which unused tokens accumulate, in milliseconds. The burst absorbs
+ * random variation of arrivals, which would otherwise cause both idle time and
+ * refusals.
  */
 const BURST_TIME = 500;
 /** Minimum number of unreserved tokens in a full bucket. */
@@ -36,8 +38,8 @@
 /** See the module's comment. Times are milliseconds of this VM's clock. */
 export class TokenBuckets {
   /**
-   * Time at which a server's bucket is full again if no token is taken, by the server's
-   * id.
+   * Time at which a server's bucket is full again if no token is taken, by the
+   * server's id.
    */
   readonly #buckets = new Map<string, number>();
   /** Time at which all buckets were empty; -Infinity if they started full. */
@@ -51,8 +53,8 @@
   }
 
   /**
-   * Empties all buckets when this VM becomes the term holder, since the tokens that the
-   * previous term holder granted are unknown.
+   * Empties all buckets when this VM becomes the term holder, since the tokens
+   * that the previous term holder granted are unknown.
    */
   reset(now: number): void {
     this.#buckets.clear();
@@ -60,8 +62,8 @@
   }
 
   /**
-   * Takes a token for a server with a limit of `requestsPerSecond`, if one is available.
-   * `isUrgent` permits the use of the reserved token.
+   * Takes a token for a server with a limit of `requestsPerSecond`, if one is
+   * available. `isUrgent` permits the use of the reserved token.
    */
   take(
     server: string,
@@ -81,7 +83,10 @@
     return { isGranted: true, left: 0 };
   }
 
-  /** Time at which a server's bucket is full; an empty bucket takes `refillTime` to fill. */
+  /**
+   * Time at which a server's bucket is full; an empty bucket takes `refillTime`
+   * to fill.
+   */
   #fullAt(server: string, refillTime: number): number {
     return this.#buckets.get(server) ?? this.#termStartedAt + refillTime;
   }
--- a/src/core/rates/token_bucket_test.ts
+++ b/src/core/rates/token_bucket_test.ts
@@ -3,8 +3,8 @@
 import { TokenBuckets } from "./token_bucket.ts";
 
 /**
- * Maximum number of tokens in a burst at the rates tested here, without the reserved
- * token.
+ * Maximum number of tokens in a burst at the rates tested here, without the
+ * reserved token.
  */
 const MAXIMUM_BURST = 4;
 
--- a/src/core/registry/registry_read.ts
+++ b/src/core/registry/registry_read.ts
@@ -11,11 +11,15 @@
   entries: BackendServer[];
   /** Ids of servers whose entries were removed. */
   removed: string[];
-  /** Ids of servers whose entries cannot be decoded; only these ids are known. */
+  /**
+   * Ids of servers whose entries cannot be decoded; only these ids are known.
+   */
   unreadable: string[];
   /** Whether `entries` is the complete list rather than the changes. */
   isWhole: boolean;
-  /** Position at the end of the registry, from which the next read continues. */
+  /**
+   * Position at the end of the registry, from which the next read continues.
+   */
   position: number;
 }
 
--- a/src/core/registry/registry_replica.ts
+++ b/src/core/registry/registry_replica.ts
@@ -1,15 +1,17 @@
 /**
- * This VM's replica of the registry of backend servers, with its position and age.
+ * This VM's replica of the registry of backend servers, with its position and
+ * age.
  *
- * The term holder reads the registry often and sends the changes to the other VMs, the
- * followers. A follower reads the registry only when its replica is older than allowed.
- * With eight VMs this leaves a quarter of the calls to the store, and with more VMs the
- * number of reads does not grow further.
+ * The term holder reads the registry often and sends the changes to the other
+ * VMs, the followers. A follower reads the registry only when its replica is
+ * older than allowed. With eight VMs this leaves a quarter of the calls to the
+ * store, and with more VMs the number of reads does not grow further.
  *
- * Each update states the position that it starts from, so delayed, duplicated and
- * reordered updates do no harm. Positions also order the incarnations of a server: the
- * one at the later position is the newer. Incarnations cannot be compared themselves,
- * since each is a time of the server's clock, which may step back.
+ * Each update states the position that it starts from, so delayed, duplicated
+ * and reordered updates do no harm. Positions also order the incarnations of a
+ * server: the one at the later position is the newer. The incarnation itself
+ * gives no order, since it is a time of the server's clock, which may step
+ * back.
  *
  * ```ts
  * // At the term holder:
@@ -28,8 +30,9 @@
 /** Pause after a failed read, in milliseconds. */
 const RETRY_PAUSE = 250;
 /**
- * Maximum number of versions that are kept to compute updates: half a minute of the term
- * holder's reads. A follower that is further behind reads the registry itself.
+ * Maximum number of versions that are kept to compute updates: half a minute of
+ * the term holder's reads. A follower that is further behind reads the registry
+ * itself.
  */
 const MAXIMUM_VERSIONS = 64;
 
@@ -39,13 +42,16 @@
   unreadable: [],
 };
 
-/** A position that this replica has had, with the changes since the previous version. */
+/**
+ * A position that this replica has had, with the changes since the previous
+ * version.
+ */
 interface Version {
   position: number;
   /**
-   * Ids of servers whose entry was written since the previous version, even if it is the
-   * same again: a VM at a position in between may have read a different entry or a
-   * removal. Null if these servers are not known.
+   * Ids of servers whose entry was written since the previous version, even if
+   * it is the same again: a VM at a position in between may have read a
+   * different entry or a removal. Null if these servers are not known.
    */
   written: readonly string[] | null;
   /** Ids of servers whose entry differs from the previous version. */
@@ -63,8 +69,8 @@
 }
 
 /**
- * This VM's replica; see the module's comment. Times are milliseconds of this VM's
- * clock.
+ * This VM's replica; see the module's comment. Times are milliseconds of this
+ * VM's clock.
  */
 export class RegistryReplica {
   #position: number | null = null;
@@ -72,7 +78,9 @@
   #isReading = false;
   #retryAt = -Infinity;
   readonly #servers = new Map<string, BackendServer>();
-  /** Position at which a server's listed incarnation was first known, by its id. */
+  /**
+   * Position at which a server's listed incarnation was first known, by its id.
+   */
   readonly #incarnationSince = new Map<string, number>();
   /** Ids of servers that were listed and whose newest entry is unreadable. */
   readonly #unreadable = new Set<string>();
@@ -105,17 +113,17 @@
   }
 
   /**
-   * Returns the position at which a server's listed incarnation was first known; 0 if
-   * the server is not listed. A report on the server from a VM at an older position may
-   * be about another incarnation.
+   * Returns the position at which a server's listed incarnation was first
+   * known; 0 if the server is not listed. A report on the server from a VM at
+   * an older position may be about another incarnation.
    */
   incarnationSince(id: string): number {
     return this.#incarnationSince.get(id) ?? 0;
   }
 
   /**
-   * Returns when the next read is due if the replica may be `maximumAge` milliseconds
-   * old; Infinity while one is in flight.
+   * Returns when the next read is due if the replica may be `maximumAge`
+   * milliseconds old; Infinity while one is in flight.
    */
   dueAt(maximumAge: number): number {
     if (this.#isReading) return Infinity;
@@ -130,8 +138,9 @@
   }
 
   /**
-   * Applies the result of a read that was requested at `sentAt`. Returns false if it is
-   * older than the replica because an update has arrived in the meantime.
+   * Applies the result of a read that was requested at `sentAt`. Returns false
+   * if it is older than the replica because an update has arrived in the
+   * meantime.
    */
   applyRead(read: RegistryRead, sentAt: number): boolean {
     this.#isReading = false;
@@ -148,8 +157,9 @@
   }
 
   /**
-   * Records a failed read. `isExpired` states whether the store no longer keeps the
-   * changes since the replica's position, so that the next read has to be complete.
+   * Records a failed read. `isExpired` states whether the store no longer keeps
+   * the changes since the replica's position, so that the next read has to be
+   * complete.
    */
   failed(isExpired: boolean, now: number): void {
     this.#isReading = false;
@@ -158,8 +168,8 @@
   }
 
   /**
-   * Applies an update and returns its changes, or null if it starts after the replica's
-   * position and cannot be applied.
+   * Applies an update and returns its changes, or null if it starts after the
+   * replica's position and cannot be applied.
    */
   applyUpdate(update: RegistryUpdate): RegistryChanges | null {
     if (this.#position === null || update.since > this.#position) return null;
@@ -172,9 +182,9 @@
   }
 
   /**
-   * Returns the changes since a position, or null if they are not known. `knownAt` is
-   * {@linkcode RegistryReplica.knownAt} of this replica by the receiver's clock; null if
-   * the receiver did not request the changes.
+   * Returns the changes since a position, or null if they are not known.
+   * `knownAt` is {@linkcode RegistryReplica.knownAt} of this replica by the
+   * receiver's clock; null if the receiver did not request the changes.
    */
   updateSince(since: number, knownAt: number | null): RegistryUpdate | null {
     const position = this.#position;
@@ -193,7 +203,10 @@
     return { since, position, entries, removed, unreadable, knownAt };
   }
 
-  /** Returns the ids of servers that changed after a position, or null if not known. */
+  /**
+   * Returns the ids of servers that changed after a position, or null if not
+   * known.
+   */
   #changedSince(since: number): Set<string> | null {
     const versions = this.#versions;
     const next = versions.findIndex(({ position }) => position >= since);
@@ -260,8 +273,9 @@
   }
 
   /**
-   * Marks a listed server's entry as unreadable and returns whether it was listed. Ids
-   * that are not listed are ignored, so that any number of them cannot exhaust memory.
+   * Marks a listed server's entry as unreadable and returns whether it was
+   * listed. Ids that are not listed are ignored, so that any number of them
+   * cannot exhaust memory.
    */
   #markUnreadable(id: string): boolean {
     if (!this.#servers.delete(id)) return false;
@@ -272,9 +286,9 @@
 }
 
 /**
- * Whether entry `b` need not be sent to a VM that has the previous entry `a`. The
- * remaining warm-up time decreases with every heartbeat and is sent only once. If it
- * increases, the server has become cold again.
+ * Whether entry `b` need not be sent to a VM that has the previous entry `a`.
+ * The remaining warm-up time decreases with every heartbeat and is sent only
+ * once. If it increases, the server has become cold again.
  */
 function isEquivalent(a: BackendServer, b: BackendServer): boolean {
   return b.warmUp <= a.warmUp &&
--- a/src/core/registry/registry_replica_test.ts
+++ b/src/core/registry/registry_replica_test.ts
@@ -113,7 +113,8 @@
 test("registry: ignores a read that is older than an applied update", (t) => {
   const follower = replicaOf(10, [server("a")]);
   const reader = replicaOf(10, [server("a")]);
-  // The read is served before the removal is written, and arrives after the update.
+  // The read is served before the removal is written, and arrives after the
+  // update.
   const late = read(11, [server("a", true)]);
   reader.applyRead(read(12, [], ["a"]), 100);
   follower.applyUpdate(reader.updateSince(10, 90)!);
@@ -127,7 +128,8 @@
   const reader = replicaOf(10, [server("a"), server("b")]);
   const follower = replicaOf(10, [server("a"), server("b")]);
   follower.applyRead(read(11, [], ["a"]), 100);
-  // The follower read the removal; the reader only reads that the entry was rewritten.
+  // The follower read the removal; the reader only reads that the entry was
+  // rewritten.
   reader.applyRead(read(12, [server("a")]), 200);
   t.deepEqual(reader.updateSince(10, 1)?.entries, []);
   const update = reader.updateSince(follower.position!, 190)!;
@@ -200,7 +202,10 @@
   t.deepEqual(reader.updateSince(16, 390)?.removed, ["a"]);
 });
 
-/** Applies changes to a map from server ids to {@linkcode stateOf} their entries. */
+/**
+ * Applies changes to a map from server ids to {@linkcode stateOf} their
+ * entries.
+ */
 function applyTo(
   view: Map<string, string>,
   { entries, removed, unreadable }: RegistryChanges,
--- a/src/core/registry/registry_update.ts
+++ b/src/core/registry/registry_update.ts
@@ -1,6 +1,6 @@
 /**
- * Changes to the registry that one VM sends to another, so that not every VM has to read
- * the registry.
+ * Changes to the registry that one VM sends to another, so that not every VM
+ * has to read the registry.
  *
  * @module
  */
@@ -14,8 +14,8 @@
   /** Position after which the changes begin. */
   since: position,
   /**
-   * Position of the registry after the changes. All changes between the two positions
-   * are included.
+   * Position of the registry after the changes. All changes between the two
+   * positions are included.
    */
   position,
   /** New and changed entries. */
@@ -25,8 +25,9 @@
   /** Ids of servers whose entry became unreadable. */
   unreadable: z.array(z.string()).default([]),
   /**
-   * Latest time at which the registry is known to be at `position`, in milliseconds of
-   * the receiver's clock; null if the receiver did not request the changes.
+   * Latest time at which the registry is known to be at `position`, in
+   * milliseconds of the receiver's clock; null if the receiver did not request
+   * the changes.
    */
   knownAt: z.number().nullable(),
 });
