--- a/src/core/quarantine/quarantine.ts
+++ b/src/core/quarantine/quarantine.ts
@@ -1,13 +1,14 @@
 /**
  * The quarantine: refuses requests that repeatedly crash backend servers.
  *
- * A crash counts against each request that was in progress on the server, since any of
- * them may have caused it. A request that was in progress on three server processes when
- * they crashed is quarantined: all VMs refuse it immediately, whichever of them observed
- * the crashes. A response to a request clears the request: its past crashes no longer
- * count. When a request is quarantined, its crashes no longer count against the other
- * requests. A quarantined request is released for a trial after some time, so that it
- * is not refused forever after its service was fixed.
+ * A crash counts against each request that was in progress on the server, since
+ * any of them may have caused it. A request that was in progress on three
+ * server processes when they crashed is quarantined: all VMs refuse it
+ * immediately, whichever of them observed the crashes. A response to a request
+ * clears the request: its past crashes no longer count. When a request is
+ * quarantined, its crashes no longer count against the other requests. A
+ * quarantined request is released for a trial after some time, so that it is
+ * not refused forever after its service was fixed.
  *
  * ```ts
  * quarantine.recordCrash(fingerprint.complete, "h/path", "server-1#0", now);
@@ -20,6 +21,7 @@
 import { type Fingerprint, headOf } from "./fingerprint.ts";
 import {
   type CrashRecord,
+  createRequestCrashes,
   digestOf,
   expiresAt,
   hasReachedLimit,
@@ -31,7 +33,6 @@
   isRecentlyAnswered,
   isReplicated,
   MAXIMUM_PROCESSES,
-  newCrashes,
   quarantinedFrom,
   quarantinedUntil,
   type RequestCrashes,
@@ -40,20 +41,23 @@
 } from "./crash_record.ts";
 
 /**
- * Maximum number of records. {@linkcode isEvictedBefore} defines which one is evicted
- * when there are more.
+ * Maximum number of records. {@linkcode isEvictedBefore} defines which one is
+ * evicted when there are more.
  */
 const MAXIMUM_RECORDS = 4_096;
 /** Minimum time between two checks of all records, in milliseconds. */
-const EXPIRY_INTERVAL = 100;
-/** Maximum number of records in a message to other VMs. */
+const CHECK_INTERVAL = 100;
+/**
+ * Maximum number of records that are replicated to all VMs, and of those in one
+ * message to another VM.
+ */
 const MAXIMUM_SENT_RECORDS = 256;
 
 /** A change of a request's state, for the log. */
 export interface QuarantineChange {
   /**
-   * Whether the request was quarantined (`held`), cleared by a response, or released for
-   * a trial (`tried`).
+   * Whether the request was quarantined (`held`), cleared by a response, or
+   * released for a trial (`tried`).
    */
   kind: "held" | "cleared" | "tried";
   crashes: RequestCrashes;
@@ -64,15 +68,16 @@
   /** Records by the request's complete fingerprint. */
   readonly #records = new Map<string, RequestCrashes>();
   /**
-   * Complete fingerprints of the records by their heads. A request whose head is
-   * missing here has no record, so its body need not be hashed to look it up.
+   * Complete fingerprints of the records by their heads. A request whose head
+   * is missing here has no record, so its body need not be hashed to look it
+   * up.
    */
   readonly #byHead = new Map<string, Set<string>>();
   #revision = 0;
   #ownRevision = 0;
   #persistentRevision = 0;
   #digest: number | null = 0;
-  #expiredAt = -Infinity;
+  #checkedAt = -Infinity;
 
   private constructor(
     private readonly reportChange: (change: QuarantineChange) => void,
@@ -91,8 +96,8 @@
   }
 
   /**
-   * {@linkcode revision} after the last change that this VM observed itself, rather than
-   * received from another VM.
+   * {@linkcode revision} after the last change that this VM observed itself,
+   * rather than received from another VM.
    */
   get ownRevision(): number {
     return this.#ownRevision;
@@ -104,8 +109,9 @@
   }
 
   /**
-   * Records that a server process crashed while it ran a request, which is identified by
-   * its complete fingerprint. Returns whether this crash was not known before.
+   * Records that a server process crashed while it ran a request, which is
+   * identified by its complete fingerprint. Returns whether this crash was not
+   * known before.
    */
   recordCrash(
     request: string,
@@ -114,12 +120,12 @@
     now: number,
   ): boolean {
     const crashes = this.#records.get(request) ??
-      this.#add(newCrashes(request, target, 0, now));
+      this.#add(createRequestCrashes(request, target, 0, now));
     const isKnown = crashes.runs.includes(processName) ||
       crashes.excused.includes(processName);
     if (isKnown) return false;
     this.#update(crashes, now, () => {
-      crashes.lastAt = now;
+      crashes.lastCrashAt = now;
       const list = isRecentlyAnswered(crashes, now)
         ? crashes.excused
         : crashes.runs;
@@ -134,17 +140,26 @@
     return this.#find(fingerprint)?.runs.length ?? 0;
   }
 
-  /** Whether there is a record of a request. */
+  /**
+   * Whether there is a record of a request: a server has crashed while it ran
+   * the request, even if that crash no longer counts.
+   */
   hasRecord(fingerprint: Fingerprint): boolean {
     return this.#find(fingerprint) !== undefined;
   }
 
-  /** Number of crashes that count against a request, by its complete fingerprint. */
+  /**
+   * Number of crashes that count against a request, by its complete
+   * fingerprint.
+   */
   crashCountOf(request: string): number {
     return this.#records.get(request)?.runs.length ?? 0;
   }
 
-  /** Describes the quarantine of a request; null if the request is not quarantined. */
+  /**
+   * Describes the quarantine of a request; null if the request is not
+   * quarantined.
+   */
   hold(fingerprint: Fingerprint, now: number): Hold | null {
     const crashes = this.#find(fingerprint);
     if (crashes === undefined || !hasReachedLimit(crashes)) return null;
@@ -152,7 +167,10 @@
     return crashes.isHeld ? holdOf(crashes, now) : null;
   }
 
-  /** Records that a server answered a request, so that its past crashes no longer count. */
+  /**
+   * Records that a server answered a request, so that its past crashes no
+   * longer count.
+   */
   clear(fingerprint: Fingerprint, now: number): void {
     const crashes = this.#find(fingerprint);
     if (crashes === undefined) return;
@@ -170,16 +188,17 @@
   }
 
   /**
-   * Increases when a request gets near its crash limit, is quarantined, or is no longer
-   * near its limit, which changes {@linkcode persistentRecords}.
+   * Increases when a request gets near its crash limit, is quarantined, or is
+   * no longer near its limit, which changes {@linkcode persistentRecords}.
    */
   get persistentRevision(): number {
     return this.#persistentRevision;
   }
 
   /**
-   * Records of requests that are quarantined or near their crash limit. They are stored
-   * persistently, so that the crashes still count after a failure of all VMs.
+   * Records of requests that are quarantined or near their crash limit. They
+   * are stored persistently, so that the crashes still count after a failure of
+   * all VMs.
    */
   persistentRecords(now: number): CrashRecord[] {
     return this.#replicated().filter((each) => each.isHeld || isNearLimit(each))
@@ -194,8 +213,9 @@
   }
 
   /**
-   * Records that changed after `revision`, newest first, except those whose current
-   * state the VM at `address` sent itself. At most {@linkcode MAXIMUM_SENT_RECORDS}.
+   * Records that changed after `revision`, newest first, except those whose
+   * current state the VM at `address` sent itself. At most
+   * {@linkcode MAXIMUM_SENT_RECORDS}.
    */
   changesSince(
     revision: number,
@@ -204,7 +224,9 @@
   ): CrashRecord[] {
     const changed = [...this.#records.values()]
       .filter((each) => each.revision > revision)
-      .filter(({ knownAt }) => knownAt === null || knownAt !== address)
+      .filter(({ receivedFrom }) =>
+        receivedFrom === null || receivedFrom !== address
+      )
       .sort((a, b) => b.revision - a.revision)
       .slice(0, MAXIMUM_SENT_RECORDS);
     return changed.map((each) => toRecord(each, now));
@@ -216,9 +238,9 @@
   }
 
   /**
-   * Replicated records and the newest records with a single crash, for a VM that has
-   * just started. It then requests a permit for these requests, of which only one copy
-   * may run at a time.
+   * Replicated records and the newest records with a single crash, for a VM
+   * that has just started. It then requests a permit for these requests, of
+   * which only one copy may run at a time.
    */
   startupRecords(now: number): CrashRecord[] {
     const replicated = this.#replicated();
@@ -229,7 +251,9 @@
       .map((each) => toRecord(each, now));
   }
 
-  /** Merges records from another VM, whose address is `address` if it is known. */
+  /**
+   * Merges records from another VM, whose address is `address` if it is known.
+   */
   merge(
     records: readonly CrashRecord[],
     now: number,
@@ -239,12 +263,13 @@
   }
 
   /**
-   * Checks all records: quarantines requests that have reached their crash limit,
-   * releases quarantined requests for a trial, and removes expired records.
+   * Checks all records: quarantines requests that have reached their crash
+   * limit, releases quarantined requests for a trial, and removes expired
+   * records.
    */
   advance(now: number): void {
-    if (now - this.#expiredAt < EXPIRY_INTERVAL) return;
-    this.#expiredAt = now;
+    if (now - this.#checkedAt < CHECK_INTERVAL) return;
+    this.#checkedAt = now;
     for (const crashes of this.#records.values()) this.#advance(crashes, now);
   }
 
@@ -263,17 +288,17 @@
 
   #merge(record: CrashRecord, now: number, address: string | null): void {
     const { request, target, round } = record;
-    const lastAt = now - record.age;
+    const lastCrashAt = now - record.age;
     const known = this.#records.get(request);
     const crashes = known ??
-      this.#add(newCrashes(request, target, round, lastAt));
+      this.#add(createRequestCrashes(request, target, round, lastCrashAt));
     const excused = union(crashes.excused, record.excused);
     const runs = union(crashes.runs, record.runs)
       .filter((each) => !excused.includes(each));
     const isChanged = known === undefined || round > crashes.round ||
       !hasSameNames(runs, crashes.runs) ||
       !hasSameNames(excused, crashes.excused);
-    crashes.lastAt = Math.max(crashes.lastAt, lastAt);
+    crashes.lastCrashAt = Math.max(crashes.lastCrashAt, lastCrashAt);
     if (!isChanged) return;
     this.#update(crashes, now, () => {
       crashes.round = Math.max(crashes.round, round);
@@ -282,13 +307,13 @@
     });
     const isComplete = hasSameNames(crashes.runs, record.runs) &&
       hasSameNames(crashes.excused, record.excused);
-    crashes.knownAt = isComplete ? address : null;
+    crashes.receivedFrom = isComplete ? address : null;
     if (crashes.runs.length > 0 && isRecentlyAnswered(crashes, now)) {
       this.#excuse(crashes, crashes.runs, now);
       this.#ownRevision = this.#revision;
     }
-    // The sender has already waited for responses before it quarantined the request, so
-    // it is quarantined here without a further delay.
+    // The sender has already waited for responses before it quarantined the
+    // request, so it is quarantined here without a further delay.
     if (record.isHeld && hasReachedLimit(crashes)) {
       crashes.nearLimitSince = -Infinity;
     }
@@ -315,7 +340,7 @@
     const wasNearLimit = isNearLimit(crashes);
     change();
     if (wasNearLimit !== isNearLimit(crashes)) this.#persistentRevision += 1;
-    crashes.knownAt = null;
+    crashes.receivedFrom = null;
     crashes.runs = crashes.runs.slice(-MAXIMUM_PROCESSES);
     crashes.excused = crashes.excused.slice(-MAXIMUM_PROCESSES);
     const since = Math.min(crashes.nearLimitSince, now);
@@ -328,9 +353,9 @@
   }
 
   /**
-   * Stops counting the crashes of a quarantined request against other requests. Requests
-   * that have reached their own crash limit are excepted, since they may be the cause as
-   * well.
+   * Stops counting the crashes of a quarantined request against other requests.
+   * Requests that have reached their own crash limit are excepted, since they
+   * may be the cause as well.
    */
   #excuseOthers(quarantined: RequestCrashes, now: number): void {
     for (const crashes of this.#records.values()) {
