--- a/src/runtime/caller_server.ts
+++ b/src/runtime/caller_server.ts
@@ -125,7 +125,7 @@
       requestTimeout: REQUEST_TIMEOUT,
       connectionsCheckingInterval: CHECK_INTERVAL,
       // Node's own response to a request without a host closes the connection,
-      // and responses to requests pipelined behind it would be dropped.
+      // and requests pipelined behind it would run without a response.
       requireHostHeader: false,
     }, (request, response) => this.#handleRequest(request, response));
     this.#server.on(
@@ -182,7 +182,7 @@
    * Accepts no new connections or requests. Idle connections are closed, others
    * after their pending responses. Without this, the connection of a caller
    * that always sends its next request before the response would never close.
-   * Pushes `callers.closed` as soon as no response is pending.
+   * Pushes `callers.closed` once no response can be cut off any more.
    */
   close(): void {
     this.#isDraining = true;
--- a/src/runtime/entry_process.ts
+++ b/src/runtime/entry_process.ts
@@ -28,9 +28,9 @@
 
 /**
  * Long-poll timeout for feeds that rarely change, in milliseconds. It is long
- * because a call has a cost besides its bytes. A connection that is lost
+ * because each call has a cost besides its bytes. A connection that is lost
  * without a reset is detected by the shorter calls that run at the same time,
- * and VMs send each other the version of their configuration.
+ * and a missed configuration by its version, which VMs send each other.
  */
 const LONG_POLL_TIMEOUT = 29_000;
 /**
--- a/src/runtime/entry_process_test.ts
+++ b/src/runtime/entry_process_test.ts
@@ -75,7 +75,7 @@
   t.true(took < CLOSE_AFTER + SETTLE_TIME, `${took} ms`);
 });
 
-test.serial("stop: one that never sends the rest of its body does not keep the process", async (t) => {
+test.serial("stop: a caller that never sends the rest of its body does not delay the exit beyond the timeout", async (t) => {
   const { entry, connect, log } = await startEntryInProcess(
     t,
     SHUTDOWN_TIMEOUT,
--- a/src/runtime/feed_follower.ts
+++ b/src/runtime/feed_follower.ts
@@ -17,8 +17,8 @@
 /**
  * Maximum wait for the store to become reachable again, in milliseconds.
  * Membership calls detect that the store is reachable, and cost a tenth of a
- * read. When feeds kept polling instead, they made 7,500 calls in 25 s while
- * the store rejected a third of the calls of 91 VMs.
+ * read. Feeds that kept polling instead made 7,500 calls in 25 s while the
+ * store rejected the calls of a third of 91 VMs.
  */
 const MAXIMUM_RETRY_WAIT = 3_000;
 
--- a/src/runtime/feed_follower_test.ts
+++ b/src/runtime/feed_follower_test.ts
@@ -9,8 +9,9 @@
 const LONG_POLL_TIMEOUT = 29_000;
 
 /**
- * Follows a store whose reads have these results; further reads stay pending.
- * Returns the long-poll timeouts of the reads and the number of complete reads.
+ * Follows a store whose long polls have these results; further ones stay
+ * pending. Returns the timeouts of the long polls and the number of reads of
+ * all current records.
  */
 function startFollower(results: readonly ("update" | "failure")[]) {
   const timeouts: number[] = [];
--- a/src/runtime/hostile_text_test.ts
+++ b/src/runtime/hostile_text_test.ts
@@ -93,12 +93,12 @@
   return read();
 }
 
-test("hostile text: an entry with an invalid port fails its attempt", async (t) => {
+test("hostile text: a registry entry with an invalid port fails its attempt", async (t) => {
   const { outcomes } = await runAttempt(SERVER, "127.0.0.1:99999");
   t.deepEqual(outcomes, ["failed"]);
 });
 
-test("hostile text: an entry whose id is not a valid header value fails its attempt", async (t) => {
+test("hostile text: a registry entry whose id is not a valid header value fails its attempt", async (t) => {
   const { outcomes } = await runAttempt("i-\ufffd", loopbackAddress());
   t.deepEqual(outcomes, ["failed"]);
 });
--- a/src/runtime/peer_network.ts
+++ b/src/runtime/peer_network.ts
@@ -44,9 +44,7 @@
 const MAXIMUM_PENDING_BYTES = 8 * 1024 * 1024;
 /** Connect timeout, in milliseconds. */
 const CONNECT_TIMEOUT = 500;
-/**
- * Delay before reconnecting to a peer after a failed attempt, in milliseconds.
- */
+/** Delay before reconnecting to a peer after an error, in milliseconds. */
 const RECONNECT_DELAY = 100;
 /**
  * Time without any bytes from a peer after a message to it, in milliseconds,
@@ -84,7 +82,7 @@
   /** The connection that is used for each peer, by the peer's address. */
   readonly #connections = new Map<string, Socket>();
   readonly #sockets = new Set<Socket>();
-  /** When the last connection to an address failed. */
+  /** When a connection to an address last had an error. */
   readonly #failedAt = new Map<string, number>();
   /** When the first message since the peer's last bytes was sent. */
   readonly #unansweredSince = new Map<Socket, number>();
@@ -188,7 +186,7 @@
 
   /**
    * Returns the current connection to a peer or opens one. Returns null for a
-   * short time after a connection to the peer has failed.
+   * short time after an error on a connection to the peer.
    */
   #connection(address: string): Socket | null {
     const existing = this.#connections.get(address);
--- a/src/runtime/peer_network_test.ts
+++ b/src/runtime/peer_network_test.ts
@@ -104,8 +104,8 @@
 
 /**
  * Maximum size of the message with a large configuration, in bytes: a link of
- * 7 Mbit/s, which also carries the other messages between VMs and all responses
- * to callers, needs 0.11 s for it.
+ * 7 Mbit/s, which also carries the answers that a VM depends on and all
+ * responses to callers, needs 0.11 s for it.
  */
 const MAXIMUM_BYTES = 100_000;
 
--- a/src/runtime/raw_callers_test.ts
+++ b/src/runtime/raw_callers_test.ts
@@ -1,3 +1,9 @@
+/**
+ * Tests with malformed, incomplete and oversized requests that a caller sends
+ * as raw bytes.
+ *
+ * @module
+ */
 import test, { type ExecutionContext } from "ava";
 import { connectCaller } from "../../test/support/caller_connection.ts";
 
