--- a/src/logging/logger.ts
+++ b/src/logging/logger.ts
@@ -1,5 +1,5 @@
 /**
- * Logger of one process. It writes one JSON object a line, with the time, level, VM,
+ * Logger of one process. It writes one JSON object per line, with the time, level, VM,
  * message and further fields.
  *
  * @module
--- a/src/stand_ins/backend_service.ts
+++ b/src/stand_ins/backend_service.ts
@@ -35,7 +35,9 @@
   advertised: addressSchema.optional(),
   /** Address of the store. */
   store: addressSchema,
+  /** Whether it runs only requests for keys that it has a lease for. */
   keyed: z.boolean().default(false),
+  /** Maximum requests that run concurrently. */
   slots: z.number().int().positive().default(3),
   /** Maximum requests that wait for a slot; further ones are refused. */
   queue: z.number().int().nonnegative().default(12),
@@ -82,8 +84,9 @@
 export type BackendFaults = z.infer<typeof backendFaultsSchema>;
 
 /**
- * A grant order. `from` and `target` are the first and last key; `holdTime` is the
- * duration of the lease in milliseconds.
+ * A grant order. `from` and `target` are the first and last key, `token` is higher
+ * than those of earlier orders, and `holdTime` is the duration of the lease in
+ * milliseconds.
  */
 const grantSchema = z.object({
   from: z.number(),
@@ -182,7 +185,10 @@
     }
   }
 
-  /** Handles a grant order, which replaces older leases of the same keys. */
+  /**
+   * Handles a grant order, which replaces older leases of the same keys. Rejects it if
+   * an order with a higher token was received for one of them.
+   */
   #grant(grant: z.infer<typeof grantSchema>, response: ServerResponse): void {
     const isSuperseded = this.#receivedOrders.some((each) =>
       each.from <= grant.target && grant.from <= each.target &&
--- a/src/stand_ins/store_service.ts
+++ b/src/stand_ins/store_service.ts
@@ -160,7 +160,7 @@
     const refusal = producers.checkAppend(query);
     if (refusal !== null) return sendJson(response, 409, refusal);
     for (const content of splitRecords(body)) this.#write(topic, content);
-    for (const wake of topic.waiters) wake();
+    for (const resume of topic.waiters) resume();
     const end = topic.first + topic.records.length;
     producers.recordAppend(query, { offset, end });
     if (this.#faults.loseAnswers > 0) {
