--- a/src/cli/demo_command.ts
+++ b/src/cli/demo_command.ts
@@ -1,6 +1,6 @@
 /**
- * `plumloft demo`: runs entry processes, backend servers and a store in one
- * process and sends requests through them.
+ * `plumloft demo`: runs entry processes, with stand-ins of backend servers and of
+ * the platform's store, in one process and sends requests through them.
  *
  * @module
  */
--- a/src/cli/evacuate_command.ts
+++ b/src/cli/evacuate_command.ts
@@ -33,7 +33,7 @@
         .option("undo", {
           type: "boolean",
           default: false,
-          describe: "revoke the evacuation",
+          describe: "restore the availability zone",
         }),
     (options) => evacuate(options),
   );
@@ -41,6 +41,6 @@
 
 async function evacuate({ zone, store, undo }: EvacuateOptions): Promise<void> {
   await withControlStore(store, (control) => control.evacuate(zone, !undo));
-  const text = undo ? `evacuation revoked: ${zone}` : `evacuated: ${zone}`;
+  const text = undo ? `restored: ${zone}` : `evacuated: ${zone}`;
   process.stdout.write(`${text}\n`);
 }
--- a/src/cli/history_command.ts
+++ b/src/cli/history_command.ts
@@ -21,7 +21,7 @@
         type: "string",
         demandOption: true,
         describe:
-          "JSON lines of calls (requests of callers) and runs (work of servers)",
+          "JSON lines of calls (requests of callers) and runs (executions at servers)",
       }),
     ({ file }) => check(file),
   );
--- a/src/cli/serve_command.ts
+++ b/src/cli/serve_command.ts
@@ -65,7 +65,10 @@
   await entry.stopped;
 }
 
-/** Reads the settings file again; invalid settings are reported and ignored. */
+/**
+ * Reads the settings file again and logs whether the settings have changed or are
+ * invalid. The process keeps the settings that it started with.
+ */
 function reload(
   entry: EntryProcess,
   file: string,
