--- a/src/settings/entry_settings.ts
+++ b/src/settings/entry_settings.ts
@@ -21,7 +21,9 @@
   /** Address that the other entry processes connect to. */
   peer: addressSchema,
   /**
-   * Peer addresses to contact while the store is unreachable. Some may be out of
+   * Peer addresses to contact when the store or the term holder is unreachable: the
+   * process requests a configuration from them while it has none, and sends them its
+   * crash records while no message from the term holder arrives. Some may be out of
    * date.
    */
   seeds: z.array(addressSchema).default([]),
