--- a/src/load/execution_trace.ts
+++ b/src/load/execution_trace.ts
@@ -77,7 +77,7 @@
  * Returns the requests that were reported as not run although they ran. An execution
  * that started after the refusal is allowed only if the caller had retried by then.
  */
-export function findExecutedRefusals(
+export function findRefusalsDespiteExecution(
   { starts, responses }: ExecutionTrace,
 ): string[] {
   const startsOf = groupById(starts);
--- a/src/load/history_check.ts
+++ b/src/load/history_check.ts
@@ -4,8 +4,8 @@
  * @module
  */
 import {
-  findExecutedRefusals,
   findOwnershipBreaches,
+  findRefusalsDespiteExecution,
   findRepeatedExecutions,
   findRepeatedResponses,
   findResponsesWithoutExecution,
@@ -40,7 +40,7 @@
     ...results,
     { name: "one owner", breaches: findOwnershipBreaches(trace) },
     { name: "at most once", breaches: findRepeatedExecutions(nonIdempotent) },
-    { name: "not-run is true", breaches: findExecutedRefusals(trace) },
+    { name: "not-run is true", breaches: findRefusalsDespiteExecution(trace) },
     { name: "served work ran", breaches: findResponsesWithoutExecution(trace) },
   ];
 }
--- a/src/load/load_generator.ts
+++ b/src/load/load_generator.ts
@@ -40,7 +40,10 @@
   callers: number;
   /** Pause between two requests of one caller, in milliseconds. */
   pause: number;
-  /** Whether the load balancer sends callers to a target now; always if absent. */
+  /**
+   * Whether the load balancer sends callers to a target now; always if absent. A
+   * caller stops when no target is ready.
+   */
   isReady?: (target: string) => boolean;
 }
 
