--- a/tools/bundle.ts
+++ b/tools/bundle.ts
@@ -8,7 +8,7 @@
 /**
  * Inside the executable, the built-in `require` prints warnings for the modules
  * that libraries resolve, so the banner replaces it. `bundleUrl` replaces
- * `import.meta.url`, which CommonJS doesn't have.
+ * `import.meta.url`.
  */
 const BANNER = `
 require = require("node:module").createRequire(__filename);
@@ -21,7 +21,8 @@
   target: "node20",
   format: "cjs",
   // V8 keeps the source in memory, with two bytes per character if it contains any
-  // character beyond Latin-1. Most of those are in the comments of libraries.
+  // character beyond Latin-1. Most of those are in the comments of libraries, which
+  // are removed; the others are escaped.
   minifyWhitespace: true,
   minifySyntax: true,
   legalComments: "none",
