--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,6 +1,10 @@
 /**
- * Runs the benchmarks that the options `--control`, `--slopes`, `--overhead` and
- * `--quarantine` select, or all of them without an option.
+ * Runs the benchmarks that the options select, or all of them without an option:
+ *
+ * - `--control`: processor time and memory of idle entry processes
+ * - `--slopes`: growth of the core's costs with the size of the deployment
+ * - `--overhead`: throughput, latency and processor time of an entry process
+ * - `--quarantine`: time and traffic until all VMs quarantine a request
  *
  * @module
  */
--- a/bench/scaling.ts
+++ b/bench/scaling.ts
@@ -46,9 +46,9 @@
 }
 
 /**
- * Measures the size of a configuration in the store and in a message to a follower,
- * and the time that it takes to decode the document, to encode and decode the message,
- * and to apply the configuration.
+ * Measures the cost of a configuration for the process that reads its document from the
+ * store, for the term holder, which encodes one message for all followers, and for each
+ * follower, which decodes and applies it.
  */
 function measureConfiguration(routes: number): void {
   const configuration = largeConfiguration(7, routes);
@@ -100,8 +100,8 @@
 }
 
 /**
- * Measures the time to dispatch a request while `crashRecords` other requests have a
- * crash record.
+ * Measures the time to dispatch a request while crash records of `crashRecords` other
+ * requests are kept, which were in progress when a server crashed.
  */
 function measureRequests(
   servers: number,
