--- a/test/support/bundled_program_test.ts
+++ b/test/support/bundled_program_test.ts
@@ -1,6 +1,7 @@
 /**
- * Guards against mutations whose original line is no longer in the program. Such a
- * mutation changes nothing, so it can't show that the checks of the soak test detect it.
+ * Guards against mutations whose original line is no longer in the program, as
+ * happened to both. Such a mutation changes nothing, so a soak test with it
+ * does not show whether the checks detect the fault.
  *
  * @module
  */
--- a/test/support/deployment.ts
+++ b/test/support/deployment.ts
@@ -66,8 +66,9 @@
   entries: number;
   servers: number;
   /**
-   * Returns the address at which process `from` connects to process `name`, which
-   * listens at `to`. By default it connects directly.
+   * Returns the address at which process `from` connects to process `name`,
+   * which listens at `to`. By default it connects directly. For backend
+   * servers, `from` is `entries`, since all entries use the same address.
    */
   link?: (from: string, name: string, to: string) => string;
   /** Mutation of the program that the checks must detect. */
@@ -136,7 +137,9 @@
     throw new Error(`assignments have not settled: ${last}`);
   }
 
-  /** Starts a backend server, by default at a new address. */
+  /**
+   * Starts a backend server at a new address, or at that of an earlier server.
+   */
   startServer(
     service: string,
     id: string,
