--- a/test/soak/soak_plan.ts
+++ b/test/soak/soak_plan.ts
@@ -14,7 +14,10 @@
   "configuration.publish",
 ] as const;
 
-/** Failures of processes, of the store and of network links. */
+/**
+ * Failures of processes, of the store and of network links. Those of links are
+ * modes of `LoopbackProxy`.
+ */
 export const UNPLANNED_FAULTS = [
   "entry.kill",
   "entry.pause",
@@ -22,10 +25,13 @@
   "server.restart",
   "server.pause",
   "server.slow",
+  /** Some requests run, but get no response. */
   "server.loses_answers",
+  /** Some responses carry the id of another request. */
   "server.crosses_answers",
   "store.out",
   "store.slow",
+  /** Some appends take effect, but get no answer. */
   "store.loses_answers",
   "store_link.silence",
   "store_link.one_way",
@@ -67,7 +73,10 @@
   servers: number;
   /** Duration of the load, in milliseconds. */
   loadDuration: number;
-  /** Whether the plan has only operations of operators, so that no request may be lost. */
+  /**
+   * Whether the plan has planned operations only, so that no request may be
+   * lost.
+   */
   isPlannedOnly: boolean;
   faults: SoakFault[];
 }
--- a/test/soak/soak_run.ts
+++ b/test/soak/soak_run.ts
@@ -32,7 +32,10 @@
  * after two checks without status 200.
  */
 const CHECK_INTERVAL = 300;
-/** Number of calls after the system has recovered from all faults. */
+/**
+ * Number of calls to each service after the system has recovered from all
+ * faults.
+ */
 const FINAL_CALLS = 100;
 /** Minimum share of these calls that must be served. */
 const FINAL_SHARE = 0.95;
@@ -150,8 +153,8 @@
   }
 
   /**
-   * Simulates the readiness checks of the load balancer, and checks that no entry
-   * returns to an older configuration.
+   * Simulates the readiness checks of the load balancer, replaces crashed
+   * servers, and checks that no entry returns to an older configuration.
    */
   async #monitorEntries(): Promise<void> {
     while (!this.#isFinished) {
@@ -220,7 +223,10 @@
     }
   }
 
-  /** Publishes the next configuration, after the previous publication has finished. */
+  /**
+   * Publishes the next configuration after the previous publication has
+   * finished, since operators publish one version at a time.
+   */
   #publish(): Promise<void> {
     this.#lastPublication = this.#lastPublication.then(async () => {
       await this.#deployment.publish(this.#publishedVersion + 1);
