--- a/test/crashing_request_test.ts
+++ b/test/crashing_request_test.ts
@@ -37,7 +37,7 @@
 /** Interval between two sends of the crashing request, in milliseconds. */
 const SEND_INTERVAL = 500;
 /** Time until a crashed server is replaced, in milliseconds. */
-const RESTART_DELAY = 2_500;
+const REPLACEMENT_DELAY = 2_500;
 
 type Service = "stock" | "orders";
 
@@ -67,7 +67,7 @@
   }
 
   async #replace({ name, address }: DeployedProcess): Promise<void> {
-    await delay(RESTART_DELAY);
+    await delay(REPLACEMENT_DELAY);
     if (this.#isStopped) return;
     const service = name.split("-")[0];
     const id = `${service}-${this.servers.length + 1}`;
@@ -122,9 +122,10 @@
 }
 
 /**
- * Returns the start time of the run that caused the last allowed crash, or Infinity if
- * fewer servers crashed. Counts each server once, since several copies may run on a server
- * when it crashes.
+ * Returns the start time of the run that caused the last allowed crash, or
+ * Infinity if fewer servers crashed. Counts each server once: several copies
+ * may run on a server when it crashes, and would make the measurement start too
+ * early.
  */
 function lastAllowedCrash(runs: readonly Run[]): number {
   const crashTimes = new Map<string, number>();
--- a/test/large_configuration_test.ts
+++ b/test/large_configuration_test.ts
@@ -1,13 +1,15 @@
 /**
- * Guards against a configuration that small VMs can't download. If the timeout of 0.7 s
- * covers the whole response, the read of a document with 2,000 more routes times out on a
- * small VM, and so does each retry. The retries saturate the VM's link, which
- * delays membership calls and messages of the term holder. VMs then read the document
- * themselves, the term passes to other VMs repeatedly, and removed servers still get
- * requests: four of five keyed requests were rejected although the store and the servers
- * worked.
- * The log shows `store.call_failed` for reads of the configuration on nearly all VMs
- * within seconds, and repeated `holder.announced`.
+ * Guards against a configuration that small VMs can't download. If the timeout
+ * of 0.7 s covers the whole response, the read of a document with 2,000 more
+ * routes times out on a small VM, and so does each retry. The retries saturate
+ * the VM's link, which delays membership calls and messages of the term holder.
+ * VMs that miss these messages read the document themselves, the term passes to
+ * other VMs repeatedly, and removed servers still get requests. This happened
+ * during a rolling restart: from the publication on, four of five keyed
+ * requests were rejected and the system did not recover, although the store and
+ * the servers worked. The log shows `store.call_failed` for reads of the
+ * configuration on nearly all VMs within seconds, and repeated
+ * `holder.announced`.
  *
  * @module
  */
--- a/test/order_client_test.ts
+++ b/test/order_client_test.ts
@@ -50,7 +50,7 @@
 // A delayed duplicate response may arrive in place of the response to the next order. If
 // it were accepted as the response to a release, keys that the server still uses would be
 // granted to another server.
-test("orders: ignores the response to another order", async (t) => {
+test("orders: an order fails if the response belongs to another order", async (t) => {
   const { orders, address } = await startOrderServer(t, (_, response) => {
     response.writeHead(200, { "X-Plumloft-Request-Id": "another" }).end();
   });
--- a/test/other_writers_test.ts
+++ b/test/other_writers_test.ts
@@ -45,9 +45,10 @@
 ];
 
 /**
- * Writes entries, and ignores a call without an answer, since the next write follows soon.
- * On a machine with many more busy processes than cores the store may answer after the
- * timeout of a call. A delay of 0.9 s made this test fail although the system under test
+ * Writes entries. Ignores a call that gets no answer, since it may have taken
+ * effect and the next write follows soon. If a machine has many more busy
+ * processes than cores, the store may be delayed for longer than the timeout of
+ * a call. A delay of 0.9 s made this test fail although the system under test
  * worked.
  */
 async function appendRecords(
--- a/test/path_test.ts
+++ b/test/path_test.ts
@@ -1,3 +1,9 @@
+/**
+ * End-to-end tests of the path of requests: through entries to backend servers,
+ * which run as separate processes.
+ *
+ * @module
+ */
 import test from "ava";
 import { writeFileSync } from "node:fs";
 import { setTimeout as delay } from "node:timers/promises";
--- a/test/platform_test.ts
+++ b/test/platform_test.ts
@@ -196,7 +196,7 @@
     priority: 0,
     destinations: [{ service: "a", weight: 90 }, { service: "b", weight: 10 }],
   };
-  const encodeDocument = (change: object) =>
+  const encodeDocument = (overrides: object) =>
     Buffer.from(JSON.stringify({
       version: 3,
       colour: "red",
@@ -207,7 +207,7 @@
         idleTimeout: 1_000,
       },
       services: [{ name: "a", max_connections: 10, keyed: true, tls: false }],
-      routes: [{ ...route, ...change }],
+      routes: [{ ...route, ...overrides }],
     }));
   t.snapshot(decodeConfiguration(encodeDocument({})));
   t.throws(() => decodeConfiguration(encodeDocument({ kind: "odd" })), {
@@ -237,14 +237,14 @@
 });
 
 test("registry: an entry has the incarnation of its server, or 0 if absent", (t) => {
-  const decode = (change: object) => {
+  const decode = (overrides: object) => {
     const entry = {
       service: "a",
       address: "10.0.0.1:80",
       zone: "z",
       slots: 3,
       state: "ready",
-      ...change,
+      ...overrides,
     };
     return decodeServer("i-1", Buffer.from(JSON.stringify(entry))).incarnation;
   };
@@ -649,7 +649,7 @@
   t.regex(fault.reason, /bytes/);
 });
 
-test("hostile terms: an unreadable term record leaves the term unknown", async (t) => {
+test("hostile terms: an unreadable term record leaves the term unknown, so that no VM claims a term", async (t) => {
   const good = rawRecord(
     Buffer.from("service/g"),
     encodeCbor(VALID_ASSIGNMENT),
@@ -669,8 +669,8 @@
 });
 
 test("hostile assignments: keys of an unreadable assignment are granted after all older grants have expired", async (t) => {
-  const broken = rawRecord(Buffer.from("service/s"), Buffer.from("{"));
-  const { store } = await startStoreWith(t, "keyed.ownership", [broken]);
+  const unreadable = rawRecord(Buffer.from("service/s"), Buffer.from("{"));
+  const { store } = await startStoreWith(t, "keyed.ownership", [unreadable]);
   const { records } = await store.readRecords();
   const timing = leaseTimingSchema.parse({});
   const fleet = Fleet.create();
