--- a/test/platform_test.ts
+++ b/test/platform_test.ts
@@ -649,7 +649,8 @@
   t.regex(fault.reason, /bytes/);
 });
 
-test("hostile terms: an unreadable term record leaves the term unknown, so that no VM claims a term", async (t) => {
+// No VM claims a term while the newest one is unknown.
+test("hostile terms: an unreadable term record leaves the term unknown", async (t) => {
   const good = rawRecord(
     Buffer.from("service/g"),
     encodeCbor(VALID_ASSIGNMENT),
