--- a/src/core/keyspace/candidacy.ts
+++ b/src/core/keyspace/candidacy.ts
@@ -4,10 +4,10 @@
  * The term holder renews the grants of all servers and sends every change to
  * all VMs, so it needs far more bandwidth and processor time than any other VM.
  * If VMs differ, only the clearly fitter ones are candidates. The others become
- * candidates only while no fitter VM is known to run. Without this rule,
- * in a cluster of 91 VMs of which 6 had 200 Mbit/s and the others 10 Mbit/s,
- * the term changed every 6 s: the messages of a holder with a slow link delayed
- * the answers of the store to it by up to 4 s.
+ * candidates only while no fitter VM is known to run. Without this rule, in a
+ * cluster of 91 VMs of which 6 had 200 Mbit/s and the others 10 Mbit/s, the
+ * term changed every 6 s: the messages of a holder with a slow link delayed the
+ * answers of the store to it by up to 4 s.
  *
  * ```ts
  * const candidacy = Candidacy.create(fitness);
@@ -46,8 +46,8 @@
 const FITTER_VM_TIMEOUT = 3_000;
 /**
  * Time for which a term holder remains a candidate after it has learned of a
- * fitter VM, in milliseconds. The other less fit VMs stop being candidates in
- * the meantime, so that none of them is elected.
+ * fitter VM, in milliseconds. Other less fit VMs stop being candidates in the
+ * meantime, so that none of them is elected.
  */
 const HANDOVER_DELAY = 1_500;
 
@@ -68,8 +68,12 @@
    * Fitness of the fittest VM among the clearly fitter ones that were observed.
    */
   #fittest = 0;
+  /** When a clearly fitter VM was last observed. */
   #lastSeenAt = -Infinity;
-  /** Time since which fitter VMs have been observed without such a timeout. */
+  /**
+   * Time since which clearly fitter VMs have been observed without a gap of
+   * more than {@linkcode FITTER_VM_TIMEOUT}.
+   */
   #fitterSince = -Infinity;
 
   private constructor(readonly fitness: number) {}
@@ -93,8 +97,8 @@
   }
 
   /**
-   * Whether this VM is a candidate. If it `isHolder`, it remains one for a
-   * while.
+   * Whether this VM is a candidate. The term holder (`isHolder`) remains one
+   * for {@linkcode HANDOVER_DELAY} after it has learned of a fitter VM.
    */
   isCandidate(now: number, isHolder: boolean): boolean {
     if (this.#knownFittest(now) === 0) return true;
--- a/src/core/keyspace/key_limits.ts
+++ b/src/core/keyspace/key_limits.ts
@@ -6,8 +6,8 @@
  * answer overloads it, wherever the other keys are placed. Each of many VMs
  * receives too few of these requests to detect this. In a cluster of 195 VMs,
  * one key received a fifth of 400 requests a second and all VMs sent them to
- * its server: 9 of 10 requests ended by a reset because the server's queue was
- * full, and each was sent nearly twice. The others waited in the queue for
+ * its server: 9 of 10 requests were reset because the server's queue was full,
+ * each of them nearly twice on average. The others waited in the queue for
  * longer than their target latency.
  *
  * The term holder knows the demand of all VMs. It sends them the share of the
@@ -15,7 +15,7 @@
  * at once.
  *
  * ```ts
- * // At the term holder, with the sorted keys of the last `window` milliseconds:
+ * // At the term holder, with the sorted keys of the last `window` ms:
  * const limits = computeKeyLimits(service, ranges, keys, window, fleet, now);
  * // At each VM, where `chance` is a random number from 0 to 1:
  * keyLimits.replace(limits, now);
--- a/src/core/keyspace/key_load.ts
+++ b/src/core/keyspace/key_load.ts
@@ -1,7 +1,8 @@
 /**
- * Samples the keys of requests. Each VM receives a hash-selected part of the
- * callers, so the requests of the term holder alone are a fair sample of all
- * requests.
+ * Samples the keys of requests. Each VM records the keys of its own requests,
+ * and the term holder also those that the other VMs report. Callers are
+ * distributed over the VMs by a hash, so the requests of each VM are a fair
+ * sample of all.
  *
  * @module
  */
@@ -14,7 +15,7 @@
 const SAMPLE_WINDOW = 3_000;
 /**
  * Maximum number of samples of each service. It bounds the memory and the time
- * of a load check.
+ * of a check of the load balance.
  */
 const MAX_SAMPLES = 4_000;
 /**
@@ -26,8 +27,8 @@
 /** Number of samples in that window below which no surge is detected. */
 const MIN_RECENT_SAMPLES = 100;
 /**
- * Number of adjacent keys in one bin of the comparison, as a power of two. Busy
- * keys are often close together.
+ * Binary logarithm of the number of adjacent keys in one bin of the comparison.
+ * Bins contain several keys because busy keys are often close together.
  */
 const BIN_BITS = 8;
 /**
--- a/src/core/keyspace/key_rebalancer.ts
+++ b/src/core/keyspace/key_rebalancer.ts
@@ -32,7 +32,7 @@
 /**
  * Limits on the number of ranges of a service, because each range costs a
  * renewal. With few servers, each needs several ranges for an even load; with
- * many, most need no more than three. At the limit no move starts, however
+ * many, most need no more than three. Above the limit no move starts, however
  * uneven the load is.
  */
 const SMALL_SERVICE_RANGES_PER_SERVER = 6;
--- a/src/core/keyspace/lease_timing.ts
+++ b/src/core/keyspace/lease_timing.ts
@@ -10,8 +10,8 @@
  * The term holder sends grants only while its authority lasts, counted from the
  * time at which it sent its last confirmed membership call. So if a new term
  * holder fences its predecessor at time T, the predecessor's last grant expires
- * before `T + authority + longest hold time`, plus the allowances for clock
- * drift and delivery.
+ * before `T + authority + longest hold time`, plus the timeout of an order and
+ * the allowances for clock drift and delivery.
  *
  * @module
  */
@@ -52,7 +52,7 @@
   orderTimeout: z.number().int().positive().default(500),
 });
 
-/** See {@linkcode leaseTimingSchema}. */
+/** Durations that determine the leases of keys, in milliseconds. */
 export type LeaseTiming = z.infer<typeof leaseTimingSchema>;
 
 /** Returns the timing with both hold times limited to what servers accept. */
--- a/src/core/keyspace/order_outcome_handler.ts
+++ b/src/core/keyspace/order_outcome_handler.ts
@@ -87,8 +87,8 @@
   }
 
   /**
-   * Schedules a withheld order to be created again after
-   * {@linkcode WITHHELD_RETRY_DELAY}.
+   * Schedules a withheld order to be created again, at the earliest after
+   * {@linkcode WITHHELD_RETRY_DELAY} and once orders may open connections.
    */
   #onWithheld({ range }: PendingOrder, now: number): void {
     range.isLastOrderWithheld = true;
@@ -147,7 +147,7 @@
   /**
    * Handles the outcome of a probe: a release order that checks whether the
    * server still listens. If the server itself has accepted it, the keys are
-   * assigned to it again.
+   * assigned to it again. Otherwise the range stays `expiring`.
    */
   #onProbe(
     { table, range }: PendingOrder,
--- a/src/core/keyspace/term_campaign.ts
+++ b/src/core/keyspace/term_campaign.ts
@@ -26,8 +26,8 @@
 import { TermHolder } from "./term_holder.ts";
 
 /**
- * Interval between membership calls, in milliseconds: a third of the time after
- * which the store removes a member that does not call.
+ * Interval between membership calls, in milliseconds: less than a third of the
+ * default time after which the store removes a member that does not call.
  */
 export const JOIN_INTERVAL = 350;
 /**
@@ -41,16 +41,17 @@
  * updates from the term holder, in milliseconds. Such a VM needs the calls only
  * to detect that it cannot reach the store. In a cluster of 195 VMs, one call a
  * second from each of 177 observers would be a fifth of the cost of all calls
- * to the store while there are no requests.
+ * to the store on a day with few requests.
  */
 const UPDATED_OBSERVER_JOIN_INTERVAL = 5_000;
 /**
- * Maximum time after its start for which a VM waits until it has read which VM
- * was the last term holder, in milliseconds. Until then it does not know
- * whether a fitter VM exists. A VM that joins the electorate and leaves it
- * again can change the result of the election: when 72 VMs started at once, the
- * first term holder lost its term because of this. A store that does not answer
- * within this time is unlikely to be able to elect a VM.
+ * Time after its start, in milliseconds, after which a VM may become a
+ * candidate even if it has not read which VM was the last term holder. Before
+ * that read it does not know whether a fitter VM exists. A VM that joins the
+ * electorate and leaves it again can change the result of the election: when 72
+ * VMs started at once, the first term holder lost its term because of this. A
+ * store that does not answer within this time is unlikely to be able to elect a
+ * VM.
  */
 const HOLDER_READ_TIMEOUT = 1_000;
 /**
@@ -107,6 +108,11 @@
  */
 export type WriteOutcome = "done" | "superseded" | "again";
 
+/**
+ * Phases of the campaign: not elected, elected but waiting for the result to
+ * settle, reading the records, claiming a term, waiting before another attempt,
+ * and term holder.
+ */
 type Phase =
   | { kind: "follower" }
   | { kind: "settling"; since: number; generation: number }
@@ -296,10 +302,11 @@
   }
 
   /**
-   * Takes all steps that are due. `hasHolderUpdates` tells whether this VM
-   * receives the store updates from the term holder, so that it need not call
-   * the store often, and `isTimerEvent` whether this step handles a timer
-   * event.
+   * Takes all steps that are due. `storeSilence` is the time for which the
+   * store has not answered, in milliseconds. `hasHolderUpdates` tells whether
+   * this VM receives the store updates from the term holder, so that it need
+   * not call the store often, and `isTimerEvent` whether this step handles a
+   * timer event.
    */
   advance(
     services: readonly string[],
