--- a/src/core/keyspace/order_tracker.ts
+++ b/src/core/keyspace/order_tracker.ts
@@ -84,9 +84,9 @@
 
   /**
    * Starts a step, which resets the limit on the orders of a step. `mayConnect`
-   * tells whether the orders of the step may open connections.
-   * `isTimerEvent` tells whether the step handles a timer event, which does not
-   * share its turn of the event loop with other events.
+   * tells whether the orders of the step may open connections, and
+   * `isTimerEvent` whether the step handles a timer event, which does not share
+   * its turn of the event loop with other events.
    */
   beginStep(mayConnect: boolean, isTimerEvent: boolean): void {
     this.#mayConnect = mayConnect;
--- a/src/core/keyspace/placement.ts
+++ b/src/core/keyspace/placement.ts
@@ -1,9 +1,9 @@
 /**
  * Decides from the measured load which server should hold which keys.
  *
- * The weight of a range is its share of the total load of its service. The load
- * of a server is the weight of its ranges divided by its speed. The fair load
- * is the load of each server if the total weight were divided evenly.
+ * The weight of a range is its share of all work of its service. The load of a
+ * server is the weight of its ranges divided by its speed. The fair load is the
+ * load of each server if the weight were divided in proportion to the speeds.
  *
  * @module
  */
--- a/src/core/keyspace/range_servers.ts
+++ b/src/core/keyspace/range_servers.ts
@@ -90,7 +90,10 @@
     return now >= evacuatedSince! + EVACUATION_SPREAD_TIME * position;
   }
 
-  /** Whether enough consecutive orders for a range got no answer. */
+  /**
+   * Whether so many consecutive orders for a range got no answer that its
+   * server counts as unresponsive.
+   */
   isUnresponsive({ failures }: TrackedRange): boolean {
     return failures >= FAILURES_UNTIL_UNRESPONSIVE;
   }
@@ -167,8 +170,8 @@
   }
 
   /**
-   * Returns the servers of `ranges` that have left an order unanswered, and
-   * those that have ended.
+   * Returns the ids of the servers of `ranges` that have left an order
+   * unanswered, and of those that have ended.
    */
   suspectedServers(ranges: Iterable<TrackedRange>): Set<string> {
     const suspects = new Set(
--- a/src/core/keyspace/range_table.ts
+++ b/src/core/keyspace/range_table.ts
@@ -74,7 +74,10 @@
     );
   }
 
-  /** Gives `range` the next revision after a change that other VMs need. */
+  /**
+   * Gives `range` the next revision after a change that the other VMs have to
+   * receive.
+   */
   markChanged(range: TrackedRange): void {
     this.revision += 1;
     range.revision = this.revision;
--- a/src/core/keyspace/server_end_test.ts
+++ b/src/core/keyspace/server_end_test.ts
@@ -75,8 +75,9 @@
 }
 
 /**
- * Grants both halves at 5 ms, then lets the orders for the lower half fail while
- * the upper half is renewed, until the lease of the lower half has to expire.
+ * Grants both halves at 5 ms, then lets the orders for the lower half fail
+ * while the upper half is renewed, until the lease of the lower half has to
+ * expire.
  */
 function failOrdersOfLowerHalf() {
   const context = createHolder();
--- a/src/core/keyspace/term_holder.ts
+++ b/src/core/keyspace/term_holder.ts
@@ -119,8 +119,8 @@
   }
 
   /**
-   * Whether orders are due that the last step had to defer because of its
-   * limit.
+   * Whether the last step reached a limit on orders, so that it may have
+   * deferred some that are due.
    */
   get hasDeferredOrders(): boolean {
     return this.#orders.isLimitReached;
--- a/src/core/keyspace/term_holder_test.ts
+++ b/src/core/keyspace/term_holder_test.ts
@@ -147,8 +147,9 @@
 });
 
 /**
- * Runs until `end`; every order to server `a` fails after 500 ms without an
- * answer.
+ * Runs until `end` and returns the state of the first range after each step.
+ * The orders of the first step are accepted; each later order to server `a`
+ * fails after 500 ms without an answer.
  */
 function runWithUnansweredOrders(
   { holder, advance }: ReturnType<typeof createHolder>,
@@ -179,7 +180,7 @@
   return states;
 }
 
-test("term holder: an unresponsive server loses its keys after two orders", (t) => {
+test("term holder: a server that answers neither orders nor callers loses its keys after two orders", (t) => {
   const context = createHolder();
   const states = runWithUnansweredOrders(context, 2_000, () => {});
   t.true(states.includes("expiring"));
@@ -205,20 +206,20 @@
     const timing = leaseTimingSchema.parse({});
     const next = () => 1;
     const holder = TermHolder.create(1, [], timing, fleet, loads, next, 0);
-    const hasOrders = (now: number) =>
+    const hasEffects = (now: number) =>
       holder.advance(["s"], now, Infinity, 0, true).length > 0;
-    return { fleet, loads, hasOrders };
+    return { fleet, loads, hasEffects };
   };
   const idle = createEmptyHolder();
   idle.fleet.apply([entry("a")], [], 0);
-  t.false(idle.hasOrders(500));
+  t.false(idle.hasEffects(500));
   idle.fleet.apply([entry("b")], [], 600);
-  t.false(idle.hasOrders(1_400));
-  t.true(idle.hasOrders(1_600));
+  t.false(idle.hasEffects(1_400));
+  t.true(idle.hasEffects(1_600));
   const requested = createEmptyHolder();
   requested.fleet.apply([entry("a")], [], 0);
   requested.loads.of("s").record(7, 100);
-  t.true(requested.hasOrders(110));
+  t.true(requested.hasEffects(110));
 });
 
 test("term holder: each renewal has a new token above all earlier ones", (t) => {
--- a/src/core/keyspace/tracked_range.ts
+++ b/src/core/keyspace/tracked_range.ts
@@ -4,15 +4,15 @@
  * ```
  * vacant -> assigned -> held -> closing -> released -> vacant
  *              |  ^                |          |
- *              |  |                |          | (the store does not answer: back
- *              |  +----------------|----------+  to the server that had the keys)
- *              +---> expiring <----+      (no answer: wait for the lease to end)
+ *              |  |                |          | (store does not answer: back to
+ *              |  +----------------|----------+  the server that had the keys)
+ *              +---> expiring <----+     (no answer: wait for the lease to end)
  * ```
  *
  * A range in any state becomes `vacant` if another server refuses an order at
  * the address of the range's server and this proves that the process that held
  * the keys has ended. While the lease of an unresponsive server runs out, the
- * server is probed if another server is listed at its address.
+ * server is probed by release orders if another one is listed at its address.
  *
  * @module
  */
