--- a/src/core/dispatch/cold_admission.ts
+++ b/src/core/dispatch/cold_admission.ts
@@ -39,7 +39,7 @@
     return new ColdAdmission(catalog, vmCount, RateShare.create(draw));
   }
 
-  /** Whether a server is still warming up. */
+  /** Whether requests to a server are limited because it is cold or may be. */
   isCold(server: TrackedServer, now: number): boolean {
     return this.#interval(server, now) !== null;
   }
@@ -60,7 +60,7 @@
 
   /**
    * Interval between requests of this VM to a server, in milliseconds; null if the
-   * server is not cold.
+   * server is not cold or its service has no warm-up settings.
    */
   #interval(server: TrackedServer, now: number): number | null {
     const { warmUp } = this.catalog.service(server.entry.service) ?? {};
--- a/src/core/dispatch/cold_admission_test.ts
+++ b/src/core/dispatch/cold_admission_test.ts
@@ -43,7 +43,7 @@
 }
 
 interface Scenario {
-  vms: number;
+  vmCount: number;
   seed: number;
   /** Time at which each VM discovers the server, in milliseconds. */
   discoversAt: (vm: number) => number;
@@ -55,17 +55,17 @@
  * Times at which VMs send to one cold server if each VM sends all requests that it may
  * send, in milliseconds.
  */
-function sendTimes({ vms, seed, discoversAt, rate }: Scenario): number[] {
+function sendTimes({ vmCount, seed, discoversAt, rate }: Scenario): number[] {
   const catalog = catalogWith({ duration: WARM_UP, requestsPerSecond: RATE });
   const draw = uniformFloat64(seed);
-  const entries = Array.from({ length: vms }, (_, vm) => ({
-    admission: ColdAdmission.create(catalog, () => vms, draw),
+  const entries = Array.from({ length: vmCount }, (_, vm) => ({
+    admission: ColdAdmission.create(catalog, () => vmCount, draw),
     fleet: fleetWith(WARM_UP, discoversAt(vm)),
     from: discoversAt(vm),
   }));
   const times: number[] = [];
   for (let now = 0; now < WARM_UP; now += 1_000 / rate) {
-    const { admission, fleet, from } = entries[Math.floor(draw() * vms)];
+    const { admission, fleet, from } = entries[Math.floor(draw() * vmCount)];
     const server = fleet.get("s")!;
     if (now < from || !admission.maySend(server, now)) continue;
     admission.requestSent(server, now);
@@ -86,21 +86,21 @@
 
 const SCENARIOS: [string, Omit<Scenario, "seed">][] = [
   ["61 VMs discover it at the same time", {
-    vms: 61,
+    vmCount: 61,
     discoversAt: () => 0,
     rate: 2_000,
   }],
   ["61 VMs discover it one after another", {
-    vms: 61,
+    vmCount: 61,
     discoversAt: (vm) => 25 * vm,
     rate: 2_000,
   }],
   ["11 VMs with a high request rate", {
-    vms: 11,
+    vmCount: 11,
     discoversAt: () => 0,
     rate: 5_000,
   }],
-  ["300 VMs", { vms: 300, discoversAt: (vm) => vm, rate: 5_000 }],
+  ["300 VMs", { vmCount: 300, discoversAt: (vm) => vm, rate: 5_000 }],
 ];
 
 for (const [name, scenario] of SCENARIOS) {
--- a/src/core/dispatch/dispatch_context.ts
+++ b/src/core/dispatch/dispatch_context.ts
@@ -27,6 +27,7 @@
   permits: RunPermits;
   cold: ColdAdmission;
   tokens: RateTokens;
+  /** Availability zone of this VM. */
   availabilityZone: string;
   retryLimits: RetryLimits;
   /** Time at which this process started, in milliseconds of its clock. */
@@ -38,7 +39,7 @@
    * the assignment may be outdated.
    */
   keyRefused(): void;
-  /** Called when the rate limit of a server has begun, changed or ended. */
+  /** Called when a rate limit of a server has come into force or ended. */
   rateLimitChanged(change: ServerRateLimitChange, now: number): void;
   /** Returns a random number in [0, 1). */
   draw(): number;
--- a/src/core/dispatch/dispatch_planner.ts
+++ b/src/core/dispatch/dispatch_planner.ts
@@ -180,7 +180,7 @@
     }
   }
 
-  /** Whether no route to the service has a more urgent priority than the request's. */
+  /** Whether the request's route has the most urgent priority of the service's routes. */
   #isUrgent({ route, service }: PendingRequest): boolean {
     return this.context.catalog.isMostUrgent(route, service);
   }
--- a/src/core/dispatch/dispatcher.ts
+++ b/src/core/dispatch/dispatcher.ts
@@ -106,7 +106,7 @@
     return this.#responses.shutdownRefusal(arrival);
   }
 
-  /** Ends all queued requests that have no attempt in flight. */
+  /** Refuses all queued requests, or fails those that may have run. */
   endQueuedRequests(reason: string, now: number): DispatchEffect[] {
     for (const request of [...this.#requests.values()]) {
       if (request.attempts.length > 0) continue;
@@ -179,7 +179,7 @@
     return this.#takeEffects();
   }
 
-  /** Time of the next call of {@linkcode advance}; Infinity without requests. */
+  /** Time at which {@linkcode advance} must be called; Infinity without requests. */
   nextAt(): number {
     let next = Infinity;
     for (const request of this.#requests.values()) {
@@ -244,7 +244,7 @@
     }
   }
 
-  /** Queues a request until the condition of its wait plan changes. */
+  /** Queues a request; it is checked again when the plan's condition has ended. */
   #enqueue(request: PendingRequest, { until }: WaitPlan): void {
     request.checkAt = until;
     this.#queues.add(request);
@@ -368,7 +368,10 @@
     this.#effects.push({ kind: "request.deliver", exchange, attempt: number });
   }
 
-  /** Retries or queues a request if the retry policy permits; false otherwise. */
+  /**
+   * Retries or queues a request if the retry policy permits; false otherwise. While
+   * another attempt is in flight, it does neither and returns true.
+   */
   #retry(request: PendingRequest, now: number): boolean {
     if (request.attempts.length > 0) return true;
     if (!this.#retryPolicy.mayRetry(request, now)) return false;
@@ -518,6 +521,7 @@
       } else if (plan.kind !== "wait") {
         this.#refuseUnsent(request, plan, now);
       } else {
+        // The servers that a request has tried may have capacity for other requests.
         isAtCapacity = isAtCapacity ||
           (request.tried.length === 0 && !plan.isRequestSpecific);
         request.checkAt = plan.until;
--- a/src/core/dispatch/dispatcher_test.ts
+++ b/src/core/dispatch/dispatcher_test.ts
@@ -22,7 +22,7 @@
  * `reads`, with two servers each. The keys are assigned to `stock-1`.
  */
 function createDispatcher(
-  vms: number | null = 8,
+  vmCount: number | null = 8,
   draw = () => 0,
   keyRefused = () => {},
   permitAnswer = (): PermitAnswer | null => ({ isGranted: true, left: 2_000 }),
@@ -96,7 +96,7 @@
   });
   const tokens = RateTokens.create(
     { requestToken: () => tokenAnswer() },
-    () => vms,
+    () => vmCount,
     draw,
   );
   const dispatcher = Dispatcher.create({
@@ -107,12 +107,12 @@
     quarantine,
     crashes,
     permits,
-    cold: ColdAdmission.create(catalog, () => vms, draw),
+    cold: ColdAdmission.create(catalog, () => vmCount, draw),
     tokens,
     availabilityZone: "a",
     retryLimits: { ratio: 0.2, windowSeconds: 10, minimum: 50 },
     startedAt: () => -Infinity,
-    vmCount: () => vms,
+    vmCount: () => vmCount,
     keyRefused,
     rateLimitChanged: () => {},
     draw,
@@ -315,7 +315,7 @@
 });
 
 for (const path of ["/order/", "/read/", "/lookup/"]) {
-  test(`dispatch: only one copy at a time runs of a request that has crashed a server: ${path}`, (t) => {
+  test(`dispatch: only one copy of a request that has crashed a server runs at a time: ${path}`, (t) => {
     let answer: PermitAnswer | null = { isGranted: true, left: 2_000 };
     const { arrive, quarantine } = createDispatcher(
       8,
--- a/src/core/dispatch/local_responses.ts
+++ b/src/core/dispatch/local_responses.ts
@@ -1,6 +1,6 @@
 /**
- * Error responses that plumloft generates itself: refusals of requests that have not run,
- * with a retry delay, and failures of requests that may have run.
+ * Error responses that plumloft generates itself: refusals, which state that the request
+ * has not run and after which delay to retry, and failures of requests that may have run.
  *
  * @module
  */
--- a/src/core/dispatch/request_times.ts
+++ b/src/core/dispatch/request_times.ts
@@ -22,12 +22,14 @@
 }
 
 /**
- * Time at which the next timer of a request expires: the end of its wait if it has no
- * attempt in flight, otherwise its deadline or the start of a hedge.
+ * Time at which the next timer of a request expires: the end of its wait, or of the
+ * condition that it waits for, if it has no attempt in flight; otherwise its deadline or
+ * the start of a hedge.
  */
 export function nextCheckAt(request: PendingRequest): number {
   if (request.attempts.length === 0) {
     const { checkAt, waitEnd, transientWaitEnd, deadline, checkedAt } = request;
+    // The condition at that time determines which of them applies.
     const ends = [waitEnd, transientWaitEnd, deadline];
     return Math.min(ends.find((end) => checkedAt < end) ?? deadline, checkAt);
   }
--- a/src/core/dispatch/retry_budget_test.ts
+++ b/src/core/dispatch/retry_budget_test.ts
@@ -10,9 +10,9 @@
     maxLength: 600,
   });
   fc.assert(
-    fc.property(arrivals, fc.integer({ min: 1, max: 12 }), (gaps, vms) => {
+    fc.property(arrivals, fc.integer({ min: 1, max: 12 }), (gaps, vmCount) => {
       const budgets = Array.from(
-        { length: vms },
+        { length: vmCount },
         () => RetryBudget.create(LIMITS),
       );
       const requests: number[] = [];
@@ -20,11 +20,11 @@
       let now = 0;
       for (const [index, gap] of gaps.entries()) {
         now += gap;
-        const budget = budgets[index % vms];
+        const budget = budgets[index % vmCount];
         budget.recordRequest(now);
         requests.push(now);
         for (let i = 0; i < 3; i++) {
-          if (budget.withdraw(now, vms)) retries.push(now);
+          if (budget.withdraw(now, vmCount)) retries.push(now);
         }
       }
       const countInWindow = (times: number[], end: number) =>
@@ -77,14 +77,14 @@
   perSecond: number,
   assumedVmCount = 8,
 ): Simulation {
-  const vms = 8;
+  const vmCount = 8;
   const budgets = Array.from(
-    { length: vms },
+    { length: vmCount },
     () => RetryBudget.create(LIMITS, -60_000),
   );
   const simulation: Simulation = { requests: [], retries: [] };
   const total = weights.reduce((sum, each) => sum + each, 0);
-  const backlog = new Array<number>(vms).fill(0);
+  const backlog = new Array<number>(vmCount).fill(0);
   for (let now = 0; now < 30_000; now += 50) {
     for (const { at, vm } of restarts) {
       if (at >= now && at < now + 50) {
@@ -131,7 +131,7 @@
 test("retry budget: VMs with uneven load stay within the budget", (t) => {
   const simulation = simulate([], [40, 1, 1, 1, 1, 1, 1, 0], 100);
   t.true(excess(simulation) <= 0);
-  // The VMs still use more than half of the budget.
+  // The margin must not make the budget useless: more than half of it is used.
   t.true(simulation.retries.length > 0.5 * 0.2 * simulation.requests.length);
 });
 
--- a/src/core/dispatch/server_choice.ts
+++ b/src/core/dispatch/server_choice.ts
@@ -58,12 +58,13 @@
 /** Inputs of a server selection. */
 export interface ChoiceContext {
   fleet: Fleet;
+  /** Availability zone of this VM. */
   availabilityZone: string;
   /** Number of VMs that share the servers, or null when unknown. */
   vmCount: number | null;
   cold: ColdAdmission;
   tokens: RateTokens;
-  /** Whether no route to the service has a more urgent priority than the request's. */
+  /** Whether the request's route has the most urgent priority of the service's routes. */
   isUrgent: boolean;
   /** Returns a random number in [0, 1). */
   draw(): number;
