--- a/src/core/dispatch/cold_admission.ts
+++ b/src/core/dispatch/cold_admission.ts
@@ -1,11 +1,12 @@
 /**
  * Limits the rate of requests that all VMs together send to a cold server.
  *
- * A server that has just started is cold: it is slow, and it crashes if it receives many
- * requests in a second. No VM knows how many requests the others send, and a single
- * request from each of 61 VMs at the same time is already too many. So each VM sends at
- * an equal share of the configured rate, and delays its first request by a random part of
- * the interval. A VM that learns late of the server or of other VMs only sends less.
+ * A server that has just started is cold: it is slow, and it crashes if it
+ * receives many requests in a second. No VM knows how many requests the others
+ * send, and a single request from each of 61 VMs at the same time is already
+ * too many. So each VM sends at an equal share of the configured rate, and
+ * delays its first request by a random part of the interval. A VM that learns
+ * late of the server or of other VMs only sends less.
  *
  * @module
  */
@@ -14,8 +15,8 @@
 import { RateShare } from "../rates/index.ts";
 
 /**
- * Number of VMs that are assumed to share a server while the actual number is unknown.
- * It is high, because too few requests are safer than too many.
+ * Number of VMs that are assumed to share a server while the actual number is
+ * unknown. It is high, because too few requests are safer than too many.
  */
 const ASSUMED_VM_COUNT = 64;
 
@@ -28,8 +29,8 @@
   ) {}
 
   /**
-   * Enforces the warm-up rates in `catalog`, divided among `vmCount` VMs (null when
-   * unknown); `draw` returns random numbers in [0, 1).
+   * Enforces the warm-up rates in `catalog`, divided among `vmCount` VMs (null
+   * when unknown); `draw` returns random numbers in [0, 1).
    */
   static create(
     catalog: Catalog,
@@ -59,8 +60,8 @@
   }
 
   /**
-   * Interval between requests of this VM to a server, in milliseconds; null if the
-   * server is not cold or its service has no warm-up settings.
+   * Interval between requests of this VM to a server, in milliseconds; null if
+   * the server is not cold or its service has no warm-up settings.
    */
   #interval(server: TrackedServer, now: number): number | null {
     const { warmUp } = this.catalog.service(server.entry.service) ?? {};
--- a/src/core/dispatch/cold_admission_test.ts
+++ b/src/core/dispatch/cold_admission_test.ts
@@ -10,7 +10,7 @@
 const SERVICE = "orders";
 const RATE = 4.3;
 const WARM_UP = 3_000;
-/** Maximum number of requests in any second that operators permit for a cold server. */
+/** Maximum requests in any second that operators permit for a cold server. */
 const MAXIMUM_PER_SECOND = Math.floor(RATE * 1.5 + 8);
 
 function catalogWith(warmUp?: { duration: number; requestsPerSecond: number }) {
@@ -52,8 +52,8 @@
 }
 
 /**
- * Times at which VMs send to one cold server if each VM sends all requests that it may
- * send, in milliseconds.
+ * Times at which VMs send to one cold server if each VM sends all requests that
+ * it may send, in milliseconds.
  */
 function sendTimes({ vmCount, seed, discoversAt, rate }: Scenario): number[] {
   const catalog = catalogWith({ duration: WARM_UP, requestsPerSecond: RATE });
@@ -155,7 +155,7 @@
   server.connectionRefused();
   server.failed(1, 1);
   t.false(admission.maySend(server, 20_000));
-  // However long ago the refused connection was, the first requests are limited.
+  // The first requests are limited, however long ago the refusal was.
   t.false(admission.maySend(server, 50_000));
   server.started(2, 58_000);
   admission.requestSent(server, 58_000);
--- a/src/core/dispatch/dispatch_effect.ts
+++ b/src/core/dispatch/dispatch_effect.ts
@@ -1,12 +1,15 @@
 /**
- * Side effects that the dispatcher returns as data, for its caller to carry out.
+ * Side effects that the dispatcher returns as data, for its caller to carry
+ * out.
  *
  * @module
  */
 
 import type { ServerProbe } from "../quarantine/index.ts";
 
-/** Sends a request to a server; an `attempt.ended` event reports the outcome. */
+/**
+ * Sends a request to a server; an `attempt.ended` event reports the outcome.
+ */
 export interface AttemptStart {
   kind: "attempt.start";
   /** Number of the attempt, unique in this process. */
--- a/src/core/dispatch/dispatch_planner.ts
+++ b/src/core/dispatch/dispatch_planner.ts
@@ -1,6 +1,7 @@
 /**
- * Decides whether a request can be sent now, and to which server: a request with a key to
- * the server that owns the key, others to the server with the lowest expected cost.
+ * Decides whether a request can be sent now, and to which server: a request
+ * with a key to the server that owns the key, others to the server with the
+ * lowest expected cost.
  *
  * @module
  */
@@ -18,10 +19,11 @@
 const DRAINING_KEY_GRACE = 700;
 
 /**
- * Time for which requests are still sent to a server in an evacuated availability zone
- * for its keys, in milliseconds. It is longer than {@linkcode DRAINING_KEY_GRACE},
- * because many keys move at the same time. All VMs learn of an evacuation within 1 s, so
- * the total stays within the 5 s that operators allow for an evacuation.
+ * Time for which requests are still sent to a server in an evacuated
+ * availability zone for its keys, in milliseconds. It is longer than
+ * {@linkcode DRAINING_KEY_GRACE}, because many keys move at the same time. All
+ * VMs learn of an evacuation within 1 s, so the total stays within the 5 s that
+ * operators allow for an evacuation.
  */
 const EVACUATED_KEY_GRACE = 3_200;
 
@@ -29,16 +31,19 @@
 export type DispatchPlan =
   | { kind: "server"; server: TrackedServer }
   /**
-   * Refused because the key is overloaded: only `share` of its requests is admitted,
-   * according to a limit that is `age` milliseconds old.
+   * Refused because the key is overloaded: only `share` of its requests is
+   * admitted, according to a limit that is `age` milliseconds old.
    */
   | { kind: "shed"; reason: string; share: number; age: number }
-  /** Refused because the request is quarantined: servers crashed while they ran it. */
+  /**
+   * Refused because the request is quarantined: servers crashed while they ran
+   * it.
+   */
   | { kind: "quarantined"; hold: Hold }
   /**
-   * Refused because waiting would not help: the request has crashed a server and another
-   * copy of it is running, all servers are leaving, or a rate limit is reached
-   * (`isRateLimited`).
+   * Refused because waiting would not help: the request has crashed a server
+   * and another copy of it is running, all servers are leaving, or a rate limit
+   * is reached (`isRateLimited`).
    */
   | { kind: "refuse"; reason: string; isRateLimited: boolean }
   /** Cannot be sent now, but may be later. */
@@ -58,8 +63,8 @@
 export type WaitPlan = DispatchPlan & { kind: "wait" };
 
 /**
- * A wait of unknown duration, for example until a server has capacity or registers
- * again.
+ * A wait of unknown duration, for example until a server has capacity or
+ * registers again.
  */
 function openEndedWait(reason: string): DispatchPlan {
   return {
@@ -105,7 +110,7 @@
     private readonly rangeBackoff: RangeBackoff,
   ) {}
 
-  /** Creates a planner that observes the delays of key ranges in `rangeBackoff`. */
+  /** Creates a planner that observes the delays in `rangeBackoff`. */
   static create(
     context: DispatchContext,
     rangeBackoff: RangeBackoff,
@@ -157,8 +162,8 @@
   }
 
   /**
-   * Checks the permit of a request that has crashed a server, since only one copy of it
-   * may run at a time. Returns null if the request may run.
+   * Checks the permit of a request that has crashed a server, since only one
+   * copy of it may run at a time. Returns null if the request may run.
    */
   #checkPermit(request: PendingRequest, now: number): DispatchPlan | null {
     const { quarantine, permits } = this.context;
@@ -180,14 +185,15 @@
     }
   }
 
-  /** Whether the request's route has the most urgent priority of the service's routes. */
+  /** Whether no route to the service is more urgent than the request's. */
   #isUrgent({ route, service }: PendingRequest): boolean {
     return this.context.catalog.isMostUrgent(route, service);
   }
 
   /**
-   * Share of the requests for a key that is admitted, from 0 to 1. A load that the
-   * server has just reported to this VM takes precedence over the limit on the key.
+   * Share of the requests for a key that is admitted, from 0 to 1. A load that
+   * the server has just reported to this VM takes precedence over the limit on
+   * the key.
    */
   #admittedShare(
     service: string,
@@ -200,15 +206,15 @@
     return keyLimits.admittedShare(service, key, now);
   }
 
-  /** Decides whether a request with a key can be sent to the server that owns the key. */
+  /** Decides whether a keyed request can be sent to the server of its key. */
   #planKeyed(request: PendingRequest, key: number, now: number): DispatchPlan {
     const { fleet, directory } = this.context;
     const range = directory.find(request.service, key);
     if (range === undefined) {
       return openEndedWait("no assignment of keys is known");
     }
-    // The limit also applies while the key moves; otherwise all queued requests would
-    // reach the new owner at the same time.
+    // The limit also applies while the key moves; otherwise all queued requests
+    // would reach the new owner at the same time.
     const share = this.#admittedShare(request.service, key, range.server, now);
     if (request.chance >= share) {
       const reason = "the key is asked for more than its server can do";
@@ -239,7 +245,7 @@
     return this.#checkRateLimit(request, server, now);
   }
 
-  /** Plans to send a keyed request to its server if the server's rate limit permits. */
+  /** Plans to send a keyed request if the rate limit of its server permits. */
   #checkRateLimit(
     request: PendingRequest,
     server: TrackedServer,
@@ -262,8 +268,8 @@
 }
 
 /**
- * Time until which requests are sent to a server for its keys; Infinity for a server
- * that is not leaving.
+ * Time until which requests are sent to a server for its keys; Infinity for a
+ * server that is not leaving.
  */
 function keysServedUntil(
   { drainingSince, evacuatedSince }: TrackedServer,
--- a/src/core/dispatch/dispatcher.ts
+++ b/src/core/dispatch/dispatcher.ts
@@ -1,7 +1,7 @@
 /**
- * Tracks each request from its arrival to its final response: sends it to a server,
- * queues it, retries it, hedges it or refuses it. `dispatch_planner.ts` selects the
- * server, and `outcome_review.ts` evaluates how each attempt ended.
+ * Tracks each request from its arrival to its final response: sends it to a
+ * server, queues it, retries it, hedges it or refuses it. `dispatch_planner.ts`
+ * selects the server, and `outcome_review.ts` evaluates how each attempt ended.
  *
  * @module
  */
@@ -31,13 +31,16 @@
 import { RetryPolicy } from "./retry_policy.ts";
 import { WaitQueues } from "./wait_queues.ts";
 
-/** Maximum number of requests that this VM queues for one service; bounds memory. */
+/** Maximum number of requests queued for one service; bounds memory. */
 const MAXIMUM_QUEUE_LENGTH = 256;
 
 /** Reason given when a retry exceeds the retry budget. */
 const RETRY_BUDGET_EXHAUSTED = "the retry budget is used up";
 
-/** Reason given when a request is quarantined because servers crashed while they ran it. */
+/**
+ * Reason given when a request is quarantined because servers crashed while they
+ * ran it.
+ */
 const QUARANTINED = "backend servers have ended under this request";
 
 /** See the module's comment. */
@@ -117,8 +120,9 @@
   }
 
   /**
-   * Responds with 504 to all requests with an attempt in flight. The response unblocks
-   * the requests that are pipelined behind it on the caller's connection.
+   * Responds with 504 to all requests with an attempt in flight. The response
+   * unblocks the requests that are pipelined behind it on the caller's
+   * connection.
    */
   failInFlightRequests(reason: string, now: number): DispatchEffect[] {
     for (const request of [...this.#requests.values()]) {
@@ -129,10 +133,11 @@
   }
 
   /**
-   * Extends the deadlines of requests in flight, because the clock may be ahead by
-   * `gap` milliseconds. The server stops at the deadline that it was sent, and the
-   * caller disconnects at its own, so waiting for either of them is safe. The requests
-   * are neither hedged nor retried, since their deadline may already have passed.
+   * Extends the deadlines of requests in flight, because the clock may be ahead
+   * by `gap` milliseconds. The server stops at the deadline that it was sent,
+   * and the caller disconnects at its own, so waiting for either of them is
+   * safe. The requests are neither hedged nor retried, since their deadline may
+   * already have passed.
    */
   extendDeadlines(gap: number): void {
     for (const request of this.#requests.values()) {
@@ -143,7 +148,7 @@
     }
   }
 
-  /** Cancels a request whose caller disconnected before it received a response. */
+  /** Cancels a request whose caller disconnected without a response. */
   callerDisconnected(exchange: number, now: number): DispatchEffect[] {
     const request = this.#requests.get(exchange);
     if (request === undefined) return [];
@@ -179,7 +184,7 @@
     return this.#takeEffects();
   }
 
-  /** Time at which {@linkcode advance} must be called; Infinity without requests. */
+  /** When {@linkcode advance} must be called; Infinity without requests. */
   nextAt(): number {
     let next = Infinity;
     for (const request of this.#requests.values()) {
@@ -244,15 +249,16 @@
     }
   }
 
-  /** Queues a request; it is checked again when the plan's condition has ended. */
+  /** Queues a request; it is checked again when the plan's condition ends. */
   #enqueue(request: PendingRequest, { until }: WaitPlan): void {
     request.checkAt = until;
     this.#queues.add(request);
   }
 
   /**
-   * Sends a request to a server; returns false if this is a retry and the retry budget
-   * is used up. All attempts are sent by this method, so none can bypass the budget.
+   * Sends a request to a server; returns false if this is a retry and the retry
+   * budget is used up. All attempts are sent by this method, so none can bypass
+   * the budget.
    */
   #send(request: PendingRequest, server: TrackedServer, now: number): boolean {
     if (request.sentCount > 0 && !this.#retryPolicy.withdraw(request, now)) {
@@ -302,15 +308,15 @@
     });
   }
 
-  /** The assigned range that contains the request's key, or null if there is none. */
+  /** The assigned range that contains the request's key, or null. */
   #assignedRange({ service, key }: PendingRequest): AssignedRange | null {
     if (key === null) return null;
     return this.context.directory.find(service, key) ?? null;
   }
 
   /**
-   * Carries out the step that follows an attempt. While another attempt of the request
-   * is in flight, only a response ends the request.
+   * Carries out the step that follows an attempt. While another attempt of the
+   * request is in flight, only a response ends the request.
    */
   #applyStep(
     request: PendingRequest,
@@ -369,8 +375,8 @@
   }
 
   /**
-   * Retries or queues a request if the retry policy permits; false otherwise. While
-   * another attempt is in flight, it does neither and returns true.
+   * Retries or queues a request if the retry policy permits; false otherwise.
+   * While another attempt is in flight, it does neither and returns true.
    */
   #retry(request: PendingRequest, now: number): boolean {
     if (request.attempts.length > 0) return true;
@@ -474,15 +480,15 @@
   }
 
   /**
-   * Ends a request that is not sent again: with a 502 response if it may have run,
-   * otherwise with a refusal.
+   * Ends a request that is not sent again: with a 502 response if it may have
+   * run, otherwise with a refusal.
    */
   #refuseOrFail(request: PendingRequest, reason: string, now: number): void {
     if (request.mayHaveRun) this.#fail(request, 502, reason, now);
     else this.#refuse(request, reason, now);
   }
 
-  /** Hedges a slow attempt: sends the request to a second server in parallel. */
+  /** Hedges a slow attempt: sends the request to a second server as well. */
   #hedge(request: PendingRequest, now: number): void {
     const attempt = request.attempts[0];
     if (now < attempt.hedgeAt) return;
@@ -521,7 +527,7 @@
       } else if (plan.kind !== "wait") {
         this.#refuseUnsent(request, plan, now);
       } else {
-        // The servers that a request has tried may have capacity for other requests.
+        // Servers that a request has tried may have capacity for others.
         isAtCapacity = isAtCapacity ||
           (request.tried.length === 0 && !plan.isRequestSpecific);
         request.checkAt = plan.until;
@@ -550,7 +556,7 @@
     this.#effects.push(failure);
   }
 
-  /** Removes a request and cancels all of its attempts except `deliveredAttempt`. */
+  /** Removes a request and cancels its attempts except `deliveredAttempt`. */
   #finish(request: PendingRequest, deliveredAttempt: number | null): void {
     this.#requests.delete(request.arrival.exchange);
     this.#queues.remove(request);
@@ -564,8 +570,8 @@
   }
 
   /**
-   * Releases the permit of a request that has crashed a server, unless the request was
-   * sent and has no response: it may then still be running.
+   * Releases the permit of a request that has crashed a server, unless the
+   * request was sent and has no response: it may then still be running.
    */
   #releasePermit(
     { arrival, sentCount }: PendingRequest,
--- a/src/core/dispatch/dispatcher_test.ts
+++ b/src/core/dispatch/dispatcher_test.ts
@@ -18,8 +18,8 @@
 import type { AttemptOutcome } from "./request.ts";
 
 /**
- * Creates a dispatcher with a keyed service, `stock`, and two others, `orders` and
- * `reads`, with two servers each. The keys are assigned to `stock-1`.
+ * Creates a dispatcher with a keyed service, `stock`, and two others, `orders`
+ * and `reads`, with two servers each. The keys are assigned to `stock-1`.
  */
 function createDispatcher(
   vmCount: number | null = 8,
@@ -163,7 +163,9 @@
   cause: "refused",
 };
 
-/** Delay before a request whose connection broke is sent again, in milliseconds. */
+/**
+ * Delay before a request whose connection broke is sent again, in milliseconds.
+ */
 const BROKEN_ATTEMPT_DELAY = 30;
 
 /** Summarizes effects, without log lines and server probes. */
@@ -212,11 +214,11 @@
 const MISDIRECTED = { ...NOT_RUN, status: 421 };
 
 /**
- * Guards against retries at a fixed interval while a key's server refuses a key. Each 421
- * response removed the server from the list of tried servers, which limits attempts, and
- * the retry delay was 30 ms even if the assignment had not changed. The same requests
- * were sent to the same server every 32 ms: 734 retries in 10 s, where the retry budget
- * permitted 695.
+ * Guards against retries at a fixed interval while a key's server refuses a
+ * key. Each 421 response removed the server from the list of tried servers,
+ * which limits attempts, and the retry delay was 30 ms even if the assignment
+ * had not changed. The same requests were sent to the same server every 32 ms:
+ * 734 retries in 10 s, where the retry budget permitted 695.
  */
 for (
   const [description, outcome] of [
@@ -325,7 +327,7 @@
     );
     quarantine.recordCrash(fingerprintOf(path).complete, path, "s#1", 0);
     t.is(arrive(path, 10)[0].kind, "attempt.start");
-    // A second copy at this VM is refused, and so is a copy whose permit is denied.
+    // A second copy at this VM and a copy with a denied permit are refused.
     t.regex(summarize(arrive(path, 20))[0], /^503, .* another copy of it runs/);
     answer = { isGranted: false, left: 500 };
     const other = createDispatcher(8, () => 0, () => {}, () => answer);
@@ -657,8 +659,8 @@
 });
 
 /**
- * Records at time 0 that a request crashed three servers, which quarantines it from
- * 1,000 ms on.
+ * Records at time 0 that a request crashed three servers, which quarantines it
+ * from 1,000 ms on.
  */
 function quarantineRequest(quarantine: Quarantine, path: string): void {
   for (const run of ["a#1", "b#1", "c#1"]) {
--- a/src/core/dispatch/local_responses.ts
+++ b/src/core/dispatch/local_responses.ts
@@ -1,6 +1,7 @@
 /**
- * Error responses that plumloft generates itself: refusals, which state that the request
- * has not run and after which delay to retry, and failures of requests that may have run.
+ * Error responses that plumloft generates itself: refusals, which state that
+ * the request has not run and after which delay to retry, and failures of
+ * requests that may have run.
  *
  * @module
  */
@@ -15,7 +16,9 @@
 /** Retry delay while this VM has no configuration, in milliseconds. */
 const UNCONFIGURED_RETRY_AFTER = 250;
 
-/** See the module's comment. Each method returns the effects of one response. */
+/**
+ * See the module's comment. Each method returns the effects of one response.
+ */
 export class LocalResponses {
   private constructor(
     private readonly context: DispatchContext,
@@ -54,9 +57,10 @@
   }
 
   /**
-   * Refuses a request that has not run and is quarantined for `left` more milliseconds.
-   * The status is 429. A 503 would describe the service as temporarily unavailable rather
-   * than the request as the cause, and many callers would retry immediately.
+   * Refuses a request that has not run and is quarantined for `left` more
+   * milliseconds. The status is 429. A 503 would describe the service as
+   * temporarily unavailable rather than the request as the cause, and many
+   * callers would retry immediately.
    */
   quarantineRefusal(
     request: PendingRequest,
@@ -93,8 +97,8 @@
   }
 
   /**
-   * Refuses a request while this VM is stopping. The retry delay is short, since another
-   * VM can accept the request immediately.
+   * Refuses a request while this VM is stopping. The retry delay is short,
+   * since another VM can accept the request immediately.
    */
   shutdownRefusal(
     { exchange, id, host, target }: RequestArrival,
--- a/src/core/dispatch/outcome_review.ts
+++ b/src/core/dispatch/outcome_review.ts
@@ -1,10 +1,10 @@
 /**
- * Evaluates the outcome of an attempt: updates the state of the server, the key range
- * and the request, and decides whether the request is retried or ends.
+ * Evaluates the outcome of an attempt: updates the state of the server, the key
+ * range and the request, and decides whether the request is retried or ends.
  *
- * Once a byte of a request may have reached a server, the request counts as not run only
- * if that server reports so. Otherwise it may have run, and a non-idempotent request that
- * may have run is never retried.
+ * Once a byte of a request may have reached a server, the request counts as not
+ * run only if that server reports so. Otherwise it may have run, and a
+ * non-idempotent request that may have run is never retried.
  *
  * @module
  */
@@ -16,14 +16,15 @@
 import type { RequestLog } from "./request_log.ts";
 
 /**
- * Delay before a request is sent again to the server of its key after that server did
- * not run it, in milliseconds; doubles with each consecutive time.
+ * Delay before a request is sent again to the server of its key after that
+ * server did not run it, in milliseconds; doubles with each consecutive time.
  */
 const KEY_REFUSAL_DELAY = 30;
 /**
- * Delay before a request whose connection broke is sent again, in milliseconds. It
- * covers the probe of the server's address, which shows whether the server crashed, and
- * is longer than the time for which an overloaded server resets connections.
+ * Delay before a request whose connection broke is sent again, in milliseconds.
+ * It covers the probe of the server's address, which shows whether the server
+ * crashed, and is longer than the time for which an overloaded server resets
+ * connections.
  */
 const BROKEN_ATTEMPT_DELAY = 30;
 
@@ -35,8 +36,8 @@
   /** Pass the response to the caller. */
   | { kind: "deliver"; status: number }
   /**
-   * Retry the request and log `detail` unless it is null; if the request cannot be
-   * retried, continue with `fallback`.
+   * Retry the request and log `detail` unless it is null; if the request cannot
+   * be retried, continue with `fallback`.
    */
   | { kind: "retry"; detail: LogLine["detail"] | null; fallback: NextStep }
   /** Dispatch the request like a new one, because no server received it. */
@@ -44,8 +45,8 @@
   /** Refuse the request, which has not run. */
   | { kind: "refuse"; reason: string }
   /**
-   * Fail the request, which may have run and has no response; log `detail` unless it is
-   * null.
+   * Fail the request, which may have run and has no response; log `detail`
+   * unless it is null.
    */
   | { kind: "fail"; reason: string; detail: LogLine["detail"] | null };
 
@@ -59,8 +60,8 @@
   ) {}
 
   /**
-   * Creates a review that records refused key ranges in `rangeBackoff`, writes to `log`
-   * and passes server probes to `emit`.
+   * Creates a review that records refused key ranges in `rangeBackoff`, writes
+   * to `log` and passes server probes to `emit`.
    */
   static create(
     context: DispatchContext,
@@ -103,8 +104,8 @@
     if (attempt.range !== null) this.rangeBackoff.served(attempt.range);
     const deliver: NextStep = { kind: "deliver", status };
     if (status < 500) {
-      // A status of 500 or above does not clear the crashes of the request: the server may
-      // have failed before it ran the request.
+      // A status of 500 or above does not clear the crashes of the request: the
+      // server may have failed before it ran the request.
       this.context.quarantine.clear(request.arrival.fingerprint, now);
       server?.answered(attempt.number, now, load);
       return deliver;
@@ -117,8 +118,8 @@
   }
 
   /**
-   * Records the rate limit, or its absence, in a response from the server to which the
-   * attempt was sent.
+   * Records the rate limit, or its absence, in a response from the server to
+   * which the attempt was sent.
    */
   #updateRateLimit(
     { number, server: id, startedAt }: Attempt,
@@ -166,8 +167,9 @@
   }
 
   /**
-   * Records that an attempt ended without a valid response, and emits a probe of the
-   * server's address if necessary: the server may have crashed while it ran the request.
+   * Records that an attempt ended without a valid response, and emits a probe
+   * of the server's address if necessary: the server may have crashed while it
+   * ran the request.
    */
   #recordBrokenAttempt(
     { arrival }: PendingRequest,
@@ -188,8 +190,8 @@
   }
 
   /**
-   * Records that a server process has exited: its address refuses connections, or
-   * another process responds there.
+   * Records that a server process has exited: its address refuses connections,
+   * or another process responds there.
    */
   #recordExit(
     server: TrackedServer | undefined,
@@ -200,8 +202,8 @@
   }
 
   /**
-   * Records that the server does not own the key or has exited, so that the assignment
-   * known to this VM may be outdated.
+   * Records that the server does not own the key or has exited, so that the
+   * assignment known to this VM may be outdated.
    */
   #recordKeyRefusal(
     request: PendingRequest,
@@ -248,8 +250,8 @@
 }
 
 /**
- * Handles an attempt without a valid response: the request may have run, so it is
- * retried only if it is idempotent.
+ * Handles an attempt without a valid response: the request may have run, so it
+ * is retried only if it is idempotent.
  */
 function retryOrFail(
   request: PendingRequest,
@@ -268,8 +270,8 @@
 }
 
 /**
- * Permits another attempt at the server of the request's key after a delay, since that
- * server did not run the request and no other one can.
+ * Permits another attempt at the server of the request's key after a delay,
+ * since that server did not run the request and no other one can.
  */
 function delayKeyRetry(
   request: PendingRequest,
--- a/src/core/dispatch/request.ts
+++ b/src/core/dispatch/request.ts
@@ -10,15 +10,15 @@
 import type { AssignedRange } from "../keyspace/index.ts";
 
 /**
- * Maximum time for which a request waits for a server, as a share of the target latency.
- * After that, the caller is better off with a retry at another VM.
+ * Maximum time for which a request waits for a server, as a share of the target
+ * latency. After that, the caller is better off with a retry at another VM.
  */
 const WAIT_SHARE = 0.22;
 /**
- * Maximum time for which a request waits while a transient condition blocks it, such as
- * a moving key, as a share of the target latency. A move takes as long as the running
- * work on the key, so a response within the target is still likely, while a refused
- * caller would retry too late to meet it.
+ * Maximum time for which a request waits while a transient condition blocks it,
+ * such as a moving key, as a share of the target latency. A move takes as long
+ * as the running work on the key, so a response within the target is still
+ * likely, while a refused caller would retry too late to meet it.
  */
 const TRANSIENT_WAIT_SHARE = 0.6;
 /**
@@ -27,7 +27,7 @@
  */
 const DEFAULT_TIMEOUT = 30_000;
 
-/** A request as its caller sent it, without its body, which stays in the HTTP server. */
+/** A request as its caller sent it. Its body stays in the HTTP server. */
 export interface RequestArrival {
   /** Number of the exchange with the caller, unique in this process. */
   exchange: number;
@@ -37,8 +37,8 @@
   /** Path and query. */
   target: string;
   /**
-   * Milliseconds for which the caller waits for a response, or null if it does not
-   * specify this.
+   * Milliseconds for which the caller waits for a response, or null if it does
+   * not specify this.
    */
   timeout: number | null;
   /** Key of the request, or null if it has none. */
@@ -57,11 +57,11 @@
   server: string;
   startedAt: number;
   /**
-   * The assigned range that contained the request's key at the start of the attempt;
-   * null without a key, or if no assignment was known.
+   * The assigned range that contained the request's key at the start of the
+   * attempt; null without a key, or if no assignment was known.
    */
   range: AssignedRange | null;
-  /** Time at which the request is hedged unless it has a response; Infinity for never. */
+  /** When the request is hedged without a response; Infinity for never. */
   hedgeAt: number;
 }
 
@@ -69,7 +69,9 @@
 export interface KeyRefusal {
   /** Id of the server. */
   server: string;
-  /** Number of consecutive attempts at which the server did not run the request. */
+  /**
+   * Number of consecutive attempts at which the server did not run the request.
+   */
   count: number;
   /** Time before which the request is not sent to the same server again. */
   until: number;
@@ -88,60 +90,63 @@
   /** Time until which it may wait for a server. */
   waitEnd: number;
   /**
-   * Time until which it may wait while a transient condition blocks it, such as a moving
-   * key.
+   * Time until which it may wait while a transient condition blocks it, such as
+   * a moving key.
    */
   transientWaitEnd: number;
   /** Time at which its timers were last checked. */
   checkedAt: number;
   /**
-   * Time at which the condition that it waits for ends by itself; Infinity if it does
-   * not.
+   * Time at which the condition that it waits for ends by itself; Infinity if
+   * it does not.
    */
   checkAt: number;
   /** Refusals by the key's server, or null. */
   refusal: KeyRefusal | null;
   /**
-   * A random number in [0, 1). If only a share of the requests for its key is admitted,
-   * the request is admitted if this number is below the share.
+   * A random number in [0, 1). If only a share of the requests for its key is
+   * admitted, the request is admitted if this number is below the share.
    */
   chance: number;
   /**
-   * Whether it was refused because its key is overloaded or a rate limit is reached.
-   * Such overload does not end within the target latency.
+   * Whether it was refused because its key is overloaded or a rate limit is
+   * reached. Such overload does not end within the target latency.
    */
   isShed: boolean;
   /** Attempts in flight. */
   attempts: Attempt[];
   /**
-   * Ids of servers to which it was sent, one entry for each attempt. A server that did
-   * not run the request is removed if it owns the key, so that it is tried again: no
-   * other server can run the request.
+   * Ids of servers to which it was sent, one entry for each attempt. A server
+   * that did not run the request is removed if it owns the key, so that it is
+   * tried again: no other server can run the request.
    */
   tried: string[];
   /** Number of attempts that reached a server, or may have. */
   sentCount: number;
   /** Whether a server may have run it. */
   mayHaveRun: boolean;
-  /** Whether its deadline may already have passed, because the clock may be ahead. */
+  /** Whether its deadline may have passed, because the clock may be ahead. */
   isDeadlineUncertain: boolean;
   /**
-   * Time before which it is not sent again, because its connection broke and the
-   * server's address is being probed.
+   * Time before which it is not sent again, because its connection broke and
+   * the server's address is being probed.
    */
   retryNotBefore: number;
-  /** Log lines that are written only if a notable event of the request follows. */
+  /**
+   * Log lines that are written only if a notable event of the request follows.
+   */
   deferredLines: LogLine[];
   /**
-   * Whether a notable event has occurred, so that its further log lines are written at
-   * once.
+   * Whether a notable event has occurred, so that its further log lines are
+   * written at once.
    */
   isLogged: boolean;
 }
 
 /**
- * Creates the state of a request that has just arrived. `key` is null if the request has
- * none or its service is not keyed, and `chance` is a random number in [0, 1).
+ * Creates the state of a request that has just arrived. `key` is null if the
+ * request has none or its service is not keyed, and `chance` is a random number
+ * in [0, 1).
  */
 export function createPendingRequest(
   arrival: RequestArrival,
@@ -188,17 +193,20 @@
     kind: "answered";
     /** HTTP status. */
     status: number;
-    /** Whether the response is complete, echoes the request's id and is signed. */
+    /**
+     * Whether the response is complete, echoes the request's id and is signed.
+     */
     isGenuine: boolean;
     /** Whether the server reports that it did not run the request. */
     isNotRun: boolean;
-    /** Id of the server that sent the response, or null if the response has none. */
+    /** Id of the server as stated in the response, or null if it has none. */
     server: string | null;
     /** Load that the server reports, or null. */
     load: ReportedLoad | null;
     /**
-     * Maximum requests per second that the server accepts from all VMs together; null if
-     * it reports no limit, undefined if it is unknown whether it does.
+     * Maximum requests per second that the server accepts from all VMs
+     * together; null if it reports no limit, undefined if it is unknown whether
+     * it does.
      */
     rateLimit?: number | null;
   }
@@ -206,7 +214,9 @@
     kind: "failed";
     /** Whether any part of the request may have reached the server. */
     mayHaveBeenSent: boolean;
-    /** Whether the server's address refused the connection; false if omitted. */
+    /**
+     * Whether the server's address refused the connection; false if omitted.
+     */
     isConnectionRefused?: boolean;
     /** Cause of the failure, for the log and the caller. */
     cause: string;
--- a/src/core/dispatch/request_log.ts
+++ b/src/core/dispatch/request_log.ts
@@ -1,7 +1,7 @@
 /**
- * Writes log lines about requests. Lines of routine steps are deferred until a notable
- * event of the same request, such as a retry or a failure. Most requests complete without
- * such an event, and their lines are never written.
+ * Writes log lines about requests. Lines of routine steps are deferred until a
+ * notable event of the same request, such as a retry or a failure. Most
+ * requests complete without such an event, and their lines are never written.
  *
  * @module
  */
@@ -16,8 +16,8 @@
   ) {}
 
   /**
-   * Creates a log that adds the configuration's `version` to each line and passes the
-   * lines to `emit`.
+   * Creates a log that adds the configuration's `version` to each line and
+   * passes the lines to `emit`.
    */
   static create(
     version: () => number,
@@ -26,7 +26,7 @@
     return new RequestLog(version, emit);
   }
 
-  /** Writes a line about a notable event, after the deferred lines of the request. */
+  /** Writes a line about a notable event after the deferred lines. */
   write(
     level: LogLine["level"],
     decision: string,
--- a/src/core/dispatch/request_times.ts
+++ b/src/core/dispatch/request_times.ts
@@ -7,12 +7,13 @@
 import type { WaitPlan } from "./dispatch_planner.ts";
 
 /**
- * Time after the deadline for which a response is still accepted, in milliseconds,
- * because a server stops its work at the deadline and then responds that it did.
+ * Time after the deadline for which a response is still accepted, in
+ * milliseconds, because a server stops its work at the deadline and then
+ * responds that it did.
  */
 export const DEADLINE_GRACE = 60;
 
-/** Time until which a request may wait for the end of the condition that blocks it. */
+/** Time until which a request may wait for the blocking condition to end. */
 export function waitLimit(
   { waitEnd, transientWaitEnd, deadline }: PendingRequest,
   { isTransient, isRequestSpecific }: WaitPlan,
@@ -22,9 +23,9 @@
 }
 
 /**
- * Time at which the next timer of a request expires: the end of its wait, or of the
- * condition that it waits for, if it has no attempt in flight; otherwise its deadline or
- * the start of a hedge.
+ * Time at which the next timer of a request expires: the end of its wait, or of
+ * the condition that it waits for, if it has no attempt in flight; otherwise
+ * its deadline or the start of a hedge.
  */
 export function nextCheckAt(request: PendingRequest): number {
   if (request.attempts.length === 0) {
--- a/src/core/dispatch/retry_after_policy.ts
+++ b/src/core/dispatch/retry_after_policy.ts
@@ -1,13 +1,13 @@
 /**
  * Computes the retry delay that a refused caller receives.
  *
- * A caller that waits for most of its timeout before it retries exceeds the target
- * latency even if the next server is idle. A caller whose first attempt is refused early
- * therefore receives a short delay, with which the response can still meet the target. A
- * caller that was refused before receives a long one, after which the cause of the
- * refusal has more likely passed. With long delays only, three of ten responses of a
- * keyed service that shed half of its requests for 8 s were late just because of the
- * delay.
+ * A caller that waits for most of its timeout before it retries exceeds the
+ * target latency even if the next server is idle. A caller whose first attempt
+ * is refused early therefore receives a short delay, with which the response
+ * can still meet the target. A caller that was refused before receives a long
+ * one, after which the cause of the refusal has more likely passed. With long
+ * delays only, three of ten responses of a keyed service that shed half of its
+ * requests for 8 s were late just because of the delay.
  *
  * ```ts
  * policy.recordTimeout(route, timeout);
@@ -21,29 +21,31 @@
 import type { PendingRequest } from "./request.ts";
 
 /**
- * Delay for a caller whose response cannot meet the target, as a share of its remaining
- * time. Callers honour a delay of at most a third of their remaining time.
+ * Delay for a caller whose response cannot meet the target, as a share of its
+ * remaining time. Callers honour a delay of at most a third of their remaining
+ * time.
  */
 const LATE_RETRY_SHARE = 0.3;
 /**
- * Delay for a caller whose response can meet the target, as a share of the slack: the
- * time that is left within the target latency, less the mean latency of the service. The
- * rest of the slack is left for the network and for queueing.
+ * Delay for a caller whose response can meet the target, as a share of the
+ * slack: the time that is left within the target latency, less the mean latency
+ * of the service. The rest of the slack is left for the network and for
+ * queueing.
  */
 const EARLY_RETRY_SHARE = 0.5;
 /**
- * Minimum slack for a short delay, as a share of the target latency. With less the
- * response would be late anyway.
+ * Minimum slack for a short delay, as a share of the target latency. With less
+ * the response would be late anyway.
  */
 const MINIMUM_SLACK_SHARE = 0.1;
 /**
- * A request counts as the first attempt of its caller if its timeout is shorter than the
- * longest timeout of its route by at most this share of the longest.
+ * A request counts as the first attempt of its caller if its timeout is shorter
+ * than the longest timeout of its route by at most this share of the longest.
  */
 const FIRST_ATTEMPT_TOLERANCE = 0.05;
 /**
- * Maximum random reduction of a delay, as a share of it, so that callers that were
- * refused together do not retry together.
+ * Maximum random reduction of a delay, as a share of it, so that callers that
+ * were refused together do not retry together.
  */
 const JITTER = 0.3;
 /** Minimum delay, in milliseconds. */
@@ -52,8 +54,8 @@
 /** See the module's comment. */
 export class RetryAfterPolicy {
   /**
-   * Longest timeout that callers of each route have sent, in milliseconds. It is the
-   * timeout of first attempts, since retries have less time left.
+   * Longest timeout that callers of each route have sent, in milliseconds. It
+   * is the timeout of first attempts, since retries have less time left.
    */
   readonly #longestTimeouts = new Map<string, number>();
 
@@ -64,7 +66,7 @@
     return new RetryAfterPolicy(context);
   }
 
-  /** Records the timeout that a caller of `route` sent, in milliseconds, or null. */
+  /** Records the timeout in milliseconds, or null, that a caller sent. */
   recordTimeout({ name }: Route, timeout: number | null): void {
     if (timeout === null) return;
     if (timeout > (this.#longestTimeouts.get(name) ?? 0)) {
@@ -83,8 +85,8 @@
   }
 
   /**
-   * Delay with which a response can meet the target latency, in milliseconds; null if
-   * none can.
+   * Delay with which a response can meet the target latency, in milliseconds;
+   * null if none can.
    */
   #earlyDelay(
     { arrivedAt, service, route }: PendingRequest,
@@ -97,7 +99,9 @@
     return slack * EARLY_RETRY_SHARE;
   }
 
-  /** Whether a request seems to be the first attempt of its caller, not a retry. */
+  /**
+   * Whether a request seems to be the first attempt of its caller, not a retry.
+   */
   #isFirstAttempt({ arrival, route }: PendingRequest): boolean {
     if (arrival.timeout === null) return false;
     const longest = this.#longestTimeouts.get(route.name) ?? 0;
@@ -105,7 +109,10 @@
   }
 }
 
-/** Delay for a caller whose response cannot meet the target latency, in milliseconds. */
+/**
+ * Delay for a caller whose response cannot meet the target latency, in
+ * milliseconds.
+ */
 function lateDelay({ arrivedAt, arrival }: PendingRequest, now: number) {
   return (arrivedAt + (arrival.timeout ?? 0) - now) * LATE_RETRY_SHARE;
 }
--- a/src/core/dispatch/retry_budget.ts
+++ b/src/core/dispatch/retry_budget.ts
@@ -1,6 +1,7 @@
 /**
- * Limits the retries that reach a service, in proportion to its requests. All VMs share
- * one budget per service, and each VM enforces its own share without coordination.
+ * Limits the retries that reach a service, in proportion to its requests. All
+ * VMs share one budget per service, and each VM enforces its own share without
+ * coordination.
  *
  * @module
  */
@@ -23,20 +24,22 @@
 export type RetryLimits = z.infer<typeof retryLimitsSchema>;
 
 /**
- * Number of buckets into which a window is divided. Requests and retries are counted per
- * bucket, so the sums over the sliding window are accurate to one bucket.
+ * Number of buckets into which a window is divided. Requests and retries are
+ * counted per bucket, so the sums over the sliding window are accurate to one
+ * bucket.
  */
 const BUCKETS = 20;
 /**
- * Share of the budget that is used. The rest is a margin, because VMs count requests at
- * slightly different times and the number of VMs is an estimate.
+ * Share of the budget that is used. The rest is a margin, because VMs count
+ * requests at slightly different times and the number of VMs is an estimate.
  */
 const SAFETY_FACTOR = 0.75;
 /**
- * Share of its minimum that a VM may use in its first window, in proportion to the time
- * since its start. A restarted VM has lost the count of its earlier retries, which still
- * count against the budget. This share and {@linkcode SAFETY_FACTOR} add up to 1,
- * so that a VM stays within its minimum however often it restarts.
+ * Share of its minimum that a VM may use in its first window, in proportion to
+ * the time since its start. A restarted VM has lost the count of its earlier
+ * retries, which still count against the budget. This share and
+ * {@linkcode SAFETY_FACTOR} add up to 1, so that a VM stays within its minimum
+ * however often it restarts.
  */
 const INITIAL_SHARE = 1 - SAFETY_FACTOR;
 
@@ -76,7 +79,7 @@
     this.#bucket(now).requests += 1;
   }
 
-  /** Takes a retry from the share of one of `vmCount` VMs; false if none is left. */
+  /** Takes a retry from one of `vmCount` VMs' shares; false if none is left. */
   withdraw(now: number, vmCount: number): boolean {
     if (this.remaining(now, vmCount) < 1) return false;
     this.#bucket(now).retries += 1;
@@ -113,8 +116,8 @@
     if (last !== undefined && last.index >= index) return last;
     const bucket = { index, requests: 0, retries: 0 };
     this.#buckets.push(bucket);
-    // Keeps one more bucket than a window has, since the window begins within the oldest
-    // bucket.
+    // Keeps one more bucket than a window has, since the window begins within
+    // the oldest bucket.
     while (this.#buckets.length > BUCKETS + 1) this.#buckets.shift();
     return bucket;
   }
--- a/src/core/dispatch/retry_budget_test.ts
+++ b/src/core/dispatch/retry_budget_test.ts
@@ -43,15 +43,19 @@
   t.pass();
 });
 
-/** Times of the requests and of the permitted retries of all VMs, in milliseconds. */
+/**
+ * Times of the requests and of the permitted retries of all VMs, in
+ * milliseconds.
+ */
 interface Simulation {
   requests: number[];
   retries: number[];
 }
 
 /**
- * Number of retries beyond the budget in the window in which it is highest, among all
- * windows that end with a retry; at most 0 if all VMs together stay within the budget.
+ * Number of retries beyond the budget in the window in which it is highest,
+ * among all windows that end with a retry; at most 0 if all VMs together stay
+ * within the budget.
  */
 function excess({ requests, retries }: Simulation): number {
   const countInWindow = (times: number[], end: number) =>
@@ -67,9 +71,10 @@
 }
 
 /**
- * Simulates eight VMs for 30 s, each of which uses all retries that it may. `restarts`
- * lists when VMs restart and lose their counts, `weights` distributes the requests over
- * the VMs, and `assumedVmCount` is the number of VMs that each VM assumes.
+ * Simulates eight VMs for 30 s, each of which uses all retries that it may.
+ * `restarts` lists when VMs restart and lose their counts, `weights`
+ * distributes the requests over the VMs, and `assumedVmCount` is the number of
+ * VMs that each VM assumes.
  */
 function simulate(
   restarts: readonly { at: number; vm: number }[],
@@ -106,8 +111,9 @@
 const EVEN_WEIGHTS = new Array<number>(8).fill(1);
 
 /**
- * Guards against a restarted VM that uses its full share of the minimum again, since it
- * has lost its counts: VMs that all restarted within one window used the minimum twice.
+ * Guards against a restarted VM that uses its full share of the minimum again,
+ * since it has lost its counts: VMs that all restarted within one window used
+ * the minimum twice.
  */
 test("retry budget: VMs that restart at once, in turn or repeatedly stay within the budget", (t) => {
   const all = (at: number) => EVEN_WEIGHTS.map((_, vm) => ({ at, vm }));
--- a/src/core/dispatch/retry_policy.ts
+++ b/src/core/dispatch/retry_policy.ts
@@ -1,6 +1,6 @@
 /**
- * Decides whether a request may be retried or hedged, from its number of attempts, its
- * remaining time and the retry budget that all VMs share.
+ * Decides whether a request may be retried or hedged, from its number of
+ * attempts, its remaining time and the retry budget that all VMs share.
  *
  * @module
  */
@@ -9,20 +9,21 @@
 import { RetryBudget } from "./retry_budget.ts";
 
 /**
- * A request is hedged after this multiple of the mean latency of its service, or after
- * {@linkcode HEDGE_TARGET_SHARE} of its target latency if that is longer.
+ * A request is hedged after this multiple of the mean latency of its service,
+ * or after {@linkcode HEDGE_TARGET_SHARE} of its target latency if that is
+ * longer.
  */
 const HEDGE_LATENCY_FACTOR = 3;
 /** Share of the route's target latency during which a request is not hedged. */
 const HEDGE_TARGET_SHARE = 0.5;
 /**
- * Number of servers that crashed while they ran a request, from which on the request is
- * no longer retried.
+ * Number of servers that crashed while they ran a request, from which on the
+ * request is no longer retried.
  */
 const CRASHES_TO_STOP_RETRIES = 2;
 /**
- * Number of VMs that are assumed to share the retry budget while their number is
- * unknown. It is high, because too few retries are safer than too many.
+ * Number of VMs that are assumed to share the retry budget while their number
+ * is unknown. It is high, because too few retries are safer than too many.
  */
 const ASSUMED_VM_COUNT = 64;
 
@@ -53,8 +54,8 @@
     ) {
       return false;
     }
-    // A request with a key may have one more attempt, since all of its attempts go to the
-    // same server.
+    // A request with a key may have one more attempt, since all of its attempts
+    // go to the same server.
     const hasAttemptsLeft = request.key !== null
       ? request.tried.length <= maximumAttempts
       : request.tried.length < maximumAttempts;
@@ -69,7 +70,9 @@
     return this.#isWorthwhile(request, now);
   }
 
-  /** Time at which a request that is sent now may be hedged; Infinity for never. */
+  /**
+   * Time at which a request that is sent now may be hedged; Infinity for never.
+   */
   hedgeAt(request: PendingRequest, now: number): number {
     const { isIdempotent, targetLatency } = request.route;
     if (!isIdempotent || request.key !== null) return Infinity;
@@ -87,13 +90,17 @@
     return this.#budget(request.service).remaining(now, vmCount) >= 1;
   }
 
-  /** Takes a retry from this VM's share of the budget; false if none is left. */
+  /**
+   * Takes a retry from this VM's share of the budget; false if none is left.
+   */
   withdraw(request: PendingRequest, now: number): boolean {
     const vmCount = this.context.vmCount() ?? ASSUMED_VM_COUNT;
     return this.#budget(request.service).withdraw(now, vmCount);
   }
 
-  /** Whether enough time is left that a response before the deadline is likely. */
+  /**
+   * Whether enough time is left that a response before the deadline is likely.
+   */
   #isWorthwhile(request: PendingRequest, now: number): boolean {
     const meanLatency = this.context.fleet.meanLatency(request.service, now);
     return request.deadline - now > meanLatency / 2;
--- a/src/core/dispatch/server_choice.ts
+++ b/src/core/dispatch/server_choice.ts
@@ -1,6 +1,6 @@
 /**
- * Selects the backend server for a request without a key, and limits the requests that
- * this VM sends to each server.
+ * Selects the backend server for a request without a key, and limits the
+ * requests that this VM sends to each server.
  *
  * @module
  */
@@ -9,49 +9,52 @@
 import type { ColdAdmission } from "./cold_admission.ts";
 
 /**
- * Maximum number of requests of all VMs at a server, per slot of the server. One runs
- * and one waits, so that no slot is idle between requests and the server's own queue
- * never fills.
+ * Maximum number of requests of all VMs at a server, per slot of the server.
+ * One runs and one waits, so that no slot is idle between requests and the
+ * server's own queue never fills.
  */
 const REQUESTS_PER_SLOT = 2;
 /**
- * Maximum number of requests of this VM at a server whose load is unknown, in multiples
- * of the VM's equal share of the slots. It exceeds 1, since callers are spread unevenly
- * over the VMs. If the server has just reported its load, this VM may fill all slots.
+ * Maximum number of requests of this VM at a server whose load is unknown, in
+ * multiples of the VM's equal share of the slots. It exceeds 1, since callers
+ * are spread unevenly over the VMs. If the server has just reported its load,
+ * this VM may fill all slots.
  */
 const LOCAL_SHARE_FACTOR = 4;
 /**
- * Share of all slots of a server that this VM may fill while the load of the server is
- * unknown, unless the server has just refused a request. With 91 VMs, most receive a
- * server's load too rarely to know it. If each sent only one request, a server whose keys
- * have many requests would be idle while VMs refuse callers of these keys.
+ * Share of all slots of a server that this VM may fill while the load of the
+ * server is unknown, unless the server has just refused a request. With 91 VMs,
+ * most receive a server's load too rarely to know it. If each sent only one
+ * request, a server whose keys have many requests would be idle while VMs
+ * refuse callers of these keys.
  */
 const UNKNOWN_LOAD_SHARE = 0.5;
 /**
- * Time for which a refusal counts as recent, in milliseconds: about the duration of the
- * work that filled the server.
+ * Time for which a refusal counts as recent, in milliseconds: about the
+ * duration of the work that filled the server.
  */
 const RECENT_REFUSAL_TIME = 500;
 /** Maximum number of servers that one selection considers. */
 const SAMPLE_SIZE = 24;
 /**
- * Number of VMs that are assumed to share the servers while the actual number is
- * unknown.
+ * Number of VMs that are assumed to share the servers while the actual number
+ * is unknown.
  */
 const ASSUMED_VM_COUNT = 8;
 /**
- * Cost factor of a server in another availability zone: traffic between zones is billed
- * and has a higher latency.
+ * Cost factor of a server in another availability zone: traffic between zones
+ * is billed and has a higher latency.
  */
 const REMOTE_ZONE_FACTOR = 1.7;
 /**
- * Cost factor of a cold or rate-limited server that may receive a request now. Its
- * permitted requests are few, and the server is idle for each one that is not used.
+ * Cost factor of a cold or rate-limited server that may receive a request now.
+ * Its permitted requests are few, and the server is idle for each one that is
+ * not used.
  */
 const RESTRICTED_FACTOR = 0.5;
 /**
- * Maximum random increase of a cost, as a share of it, so that VMs do not all select the
- * same server.
+ * Maximum random increase of a cost, as a share of it, so that VMs do not all
+ * select the same server.
  */
 const JITTER = 0.2;
 
@@ -64,7 +67,7 @@
   vmCount: number | null;
   cold: ColdAdmission;
   tokens: RateTokens;
-  /** Whether the request's route has the most urgent priority of the service's routes. */
+  /** Whether no route to the service is more urgent than the request's. */
   isUrgent: boolean;
   /** Returns a random number in [0, 1). */
   draw(): number;
@@ -97,9 +100,9 @@
 }
 
 /**
- * Selects the server with the lowest expected cost among those with capacity that were
- * not tried. Paused and unresponsive servers are considered only if there are no others.
- * Returns null if no server has capacity.
+ * Selects the server with the lowest expected cost among those with capacity
+ * that were not tried. Paused and unresponsive servers are considered only if
+ * there are no others. Returns null if no server has capacity.
  */
 export function chooseServer(
   service: string,
@@ -140,8 +143,8 @@
 }
 
 /**
- * Requests a token for one of the rate-limited servers. A token that is granted too late
- * for this request is available to a later one.
+ * Requests a token for one of the rate-limited servers. A token that is granted
+ * too late for this request is available to a later one.
  */
 function requestToken(
   servers: readonly TrackedServer[],
@@ -153,8 +156,9 @@
 }
 
 /**
- * Takes up to {@linkcode SAMPLE_SIZE} consecutive servers from a random position. A
- * sample is nearly as good as all servers, at a cost independent of their number.
+ * Takes up to {@linkcode SAMPLE_SIZE} consecutive servers from a random
+ * position. A sample is nearly as good as all servers, at a cost independent of
+ * their number.
  */
 function sample(
   servers: readonly TrackedServer[],
--- a/src/core/dispatch/server_choice_test.ts
+++ b/src/core/dispatch/server_choice_test.ts
@@ -4,8 +4,8 @@
 import { hasCapacity } from "./server_choice.ts";
 
 /**
- * Number of requests that one of eight VMs may send at `now` to a server with 3 slots,
- * after a response at 100 ms that reported `load`.
+ * Number of requests that one of eight VMs may send at `now` to a server with 3
+ * slots, after a response at 100 ms that reported `load`.
  */
 function capacity(load: ReportedLoad | null, now: number): number {
   const server = TrackedServer.create(backendServer("i", { address: "h:1" }));
