--- a/src/core/dispatch/dispatch_context.ts
+++ b/src/core/dispatch/dispatch_context.ts
@@ -1,6 +1,6 @@
 /**
- * Dependencies of the dispatcher: state of this VM that other modules maintain, and
- * functions that the dispatcher calls.
+ * Dependencies of the dispatcher: state of this VM that other modules maintain,
+ * and functions that the dispatcher calls.
  *
  * @module
  */
@@ -27,6 +27,7 @@
   permits: RunPermits;
   cold: ColdAdmission;
   tokens: RateTokens;
+  /** Availability zone of this VM. */
   availabilityZone: string;
   retryLimits: RetryLimits;
   /** Time at which this process started, in milliseconds of its clock. */
@@ -34,11 +35,11 @@
   /** Number of VMs, or null when unknown. */
   vmCount(): number | null;
   /**
-   * Called when a server refused a key that is assigned to it in `directory`, so that
-   * the assignment may be outdated.
+   * Called when a server refused a key that is assigned to it in `directory`,
+   * so that the assignment may be outdated.
    */
   keyRefused(): void;
-  /** Called when the rate limit of a server has begun, changed or ended. */
+  /** Called when a rate limit of a server has come into force or ended. */
   rateLimitChanged(change: ServerRateLimitChange, now: number): void;
   /** Returns a random number in [0, 1). */
   draw(): number;
