--- a/src/core/exchange/state_exchange.ts
+++ b/src/core/exchange/state_exchange.ts
@@ -9,13 +9,13 @@
   type HolderAddress,
   type MessageOf,
   type QuarantineUpdate,
-  StateRequest,
+  StateRequester,
 } from "../peers/index.ts";
 import type { StoreHealth } from "../store_health.ts";
 
 /** Sends and answers state requests, and applies the answers. */
 export class StateExchange {
-  readonly #request: StateRequest;
+  readonly #requester: StateRequester;
 
   private constructor(
     private readonly clusterState: ClusterState,
@@ -23,7 +23,7 @@
     private readonly emit: Emit,
     seeds: readonly string[],
   ) {
-    this.#request = StateRequest.create(seeds);
+    this.#requester = StateRequester.create(seeds);
   }
 
   /**
@@ -48,7 +48,7 @@
     holder: string | null,
     now: number,
   ): void {
-    const requests = this.#request.advance(
+    const requests = this.#requester.advance(
       now,
       this.clusterState.senderState(),
       quarantineUpdate,
--- a/src/core/peers/follower_link.ts
+++ b/src/core/peers/follower_link.ts
@@ -14,9 +14,9 @@
 
 /**
  * Time between two reports, in milliseconds. It limits how soon the holder detects a
- * busy key and how old the registry data received from the holder can be. With half of
- * this interval, busy keys moved no sooner, and the reports took a tenth of an idle VM's
- * processor time.
+ * busy key and how old the registry data received from the holder can be. Half of this
+ * interval brought no benefit for busy keys and took a tenth of an idle VM's processor
+ * time.
  */
 const REPORT_INTERVAL = 500;
 /**
@@ -24,7 +24,7 @@
  * milliseconds. It doubles with each unanswered report, up to the regular interval.
  */
 const URGENT_REPORT_INTERVAL = 60;
-/** Number of VMs from which a new holder can answer the first reports at once. */
+/** Number of VMs whose first reports a new holder can answer without delay. */
 const IMMEDIATE_REPORTS = 20;
 /**
  * Time over which the first reports to a new holder are spread, in milliseconds per VM
@@ -192,10 +192,10 @@
 
   /**
    * Returns the effects that are due. `position` is the registry position that this VM
-   * has reached, or null. `latencies` and `rates` are the servers' response times and
-   * rate limits collected since the last report. `mayFetch` is true if assignments are
-   * needed and the store answers.
-   * `hasHolderUpdates` is true while this VM receives store updates from the holder.
+   * has reached, or null. `latencies` and `rates` are the servers' latencies and rate
+   * limits collected since the last report. `mayFetch` is true if assignments are needed
+   * and the store answers, `hasHolderUpdates` while this VM receives store updates from
+   * the holder.
    */
   advance(
     now: number,
--- a/src/core/peers/holder_link.ts
+++ b/src/core/peers/holder_link.ts
@@ -45,9 +45,10 @@
   rates: readonly ServerRateLimit[];
 }
 
-/** Assignments that changed after version `since`. */
+/** Changes of the assignments after version `since`. */
 export interface AssignmentChanges {
   since: number;
+  /** All services, each with only its changed ranges, which may be none. */
   assignments: readonly Assignment[];
 }
 
@@ -187,7 +188,8 @@
 
   /**
    * Returns messages with the address of the new term holder to the followers that
-   * receive store updates from this VM, and removes all followers.
+   * receive store updates from this VM, and removes all followers, since they now follow
+   * the new holder.
    */
   announceSuccessor(
     senderState: SenderState,
--- a/src/core/peers/message_pacing.ts
+++ b/src/core/peers/message_pacing.ts
@@ -10,7 +10,7 @@
 
 /**
  * Time after which a message is sent again to a follower that still lacks it, in
- * milliseconds. This is how long a failed connection delays a follower.
+ * milliseconds. A follower that lost the message with a failed connection waits this long.
  */
 const RESEND_DELAY = 900;
 
@@ -35,9 +35,9 @@
 
   /**
    * Returns whether to send `version` now to a follower whose report was sent at
-   * `reportSentAt` by its own clock, and if so records it as sent. A `reportSentAt`
-   * before the last one means that the follower's process has restarted and lacks what
-   * was sent previously.
+   * `reportSentAt` by its own clock, and if so records it as sent. The clock starts with
+   * the process, so a `reportSentAt` before the last one means that the follower has
+   * restarted and lacks what was sent previously.
    */
   maySend(
     address: string,
--- a/src/core/peers/peer_message.ts
+++ b/src/core/peers/peer_message.ts
@@ -92,7 +92,7 @@
 /** See {@linkcode holderStateSchema}. */
 export type HolderState = z.infer<typeof holderStateSchema>;
 
-/** A service's key ranges in compact form: ranges refer to servers by index. */
+/** A service's key ranges; they refer to servers by index to keep messages small. */
 const compactAssignmentSchema = z.object({
   service: z.string(),
   servers: z.array(
@@ -130,9 +130,10 @@
 /** A follower's report to the term holder on the keys that were requested recently. */
 const followerReportSchema = senderStateSchema.extend({
   kind: z.literal("keys.asked"),
+  /** Sample of the keys that were requested since the last report, by service. */
   samples: z.array(z.object({ service: z.string(), keys: z.array(count) })),
   /**
-   * Response times of the servers that hold keys since the last report: the mean in
+   * Latencies of the servers that hold keys, measured since the last report: the mean in
    * milliseconds and the number of responses.
    */
   latencies: z.array(
@@ -183,7 +184,10 @@
   kind: z.literal("assignments.changed"),
   /** Version to which the changes apply. */
   since: count,
-  /** The changed ranges of each service. They replace the ranges of the same keys. */
+  /**
+   * All services, each with its changed ranges, which replace the ranges of the same
+   * keys. A service without changed ranges is included too, since it gets the new version.
+   */
   changes: z.array(compactAssignmentSchema),
 });
 
@@ -251,6 +255,7 @@
   kind: z.literal("term.yielded"),
   /** Term of the new holder. */
   toTerm: count,
+  /** Leases that servers may still have from the previous holder's grants. */
   exposures: z.array(outstandingLeaseSchema),
 });
 
--- a/src/core/peers/state_request.ts
+++ b/src/core/peers/state_request.ts
@@ -20,17 +20,17 @@
 const CATCH_UP_INTERVAL = 1_500;
 
 /** See the module's comment. Times are milliseconds of this VM's clock. */
-export class StateRequest {
+export class StateRequester {
   #requestedAt = -Infinity;
 
   private constructor(private readonly seeds: readonly string[]) {}
 
   /**
-   * Creates a request that is sent to the term holder and, while no configuration is
+   * Creates a requester that sends to the term holder and, while no configuration is
    * known, to the VMs at the addresses `seeds`.
    */
-  static create(seeds: readonly string[]): StateRequest {
-    return new StateRequest(seeds);
+  static create(seeds: readonly string[]): StateRequester {
+    return new StateRequester(seeds);
   }
 
   /**
