--- a/src/core/exchange/overload_monitor.ts
+++ b/src/core/exchange/overload_monitor.ts
@@ -87,7 +87,7 @@
     }
   }
 
-  /** Loads of the service's servers that exceed the threshold for publication. */
+  /** Loads of the service's servers that have reached the threshold for publication. */
   #loadsAtCapacity(service: string, now: number): OverloadState["loads"] {
     return this.clusterState.fleet.serversOf(service).flatMap((server) => {
       const reportedLoad = server.latestLoadReport(now);
--- a/src/core/exchange/peer_exchange.ts
+++ b/src/core/exchange/peer_exchange.ts
@@ -95,8 +95,8 @@
 
   /**
    * Creates an exchange for the process at `ownAddress` that has received no messages.
-   * `seeds` are addresses of VMs to contact if the term holder is unknown or does not
-   * answer. `draw` returns a random number in [0, 1).
+   * `seeds` are the addresses of VMs to contact while no configuration is known or the
+   * term holder sends no messages. `draw` returns a random number in [0, 1).
    */
   static create(
     clusterState: ClusterState,
@@ -346,7 +346,7 @@
 
   /**
    * Time since the last message from the term holder, in milliseconds; 0 if this VM is
-   * the announced holder.
+   * the announced holder, which needs none.
    */
   #holderSilence(now: number): number {
     const isOwn = this.clusterState.holder?.address === this.ownAddress;
--- a/src/core/exchange/peer_exchange_test.ts
+++ b/src/core/exchange/peer_exchange_test.ts
@@ -1,9 +1,9 @@
 /**
- * Guards against a VM that keeps using outdated assignments after it was suspended. If
- * the term changes during the suspension and the VM's first report is lost with a failed
- * connection, its next regular report follows 500 ms later. Until then the VM sent
- * requests to a server that no longer held their keys, although it answered each of them
- * with 421.
+ * Guards against a VM that keeps using outdated assignments after it was suspended. The
+ * term changed twice during a suspension of 4.4 s, the VM's first report was lost with a
+ * failed connection, and its next regular report followed 500 ms later. Until then the VM
+ * sent 44 requests to a server that no longer held their keys, although the server
+ * answered each of them with 421.
  */
 import test from "ava";
 import { fingerprintOf } from "../../../test/support/fingerprint.ts";
--- a/src/core/exchange/quarantine_exchange.ts
+++ b/src/core/exchange/quarantine_exchange.ts
@@ -108,9 +108,9 @@
   }
 
   /**
-   * Whether there are records that the holder lacks and that should not wait for the
-   * next regular report. `vmCount` is the number of VMs that send reports to the
-   * holder.
+   * Whether this VM has observed changes that it has not yet sent to the holder and that
+   * should not wait for the next regular report. `vmCount` is the estimated number of VMs
+   * that send reports to the holder, or null.
    */
   isUrgent(vmCount: number | null, now: number): boolean {
     const last = this.#pending.at(-1);
--- a/src/core/exchange/quarantine_record_test.ts
+++ b/src/core/exchange/quarantine_record_test.ts
@@ -49,7 +49,7 @@
   t.is(record.advance(QUARANTINED_AT + 400)?.records.length, 2);
 });
 
-test("quarantine record: a VM that starts quarantines the requests it reads", (t) => {
+test("quarantine record: a VM that starts immediately quarantines the requests it reads", (t) => {
   const former = createRecord();
   former.quarantineRequest();
   const { records } = former.record.advance(QUARANTINED_AT)!;
--- a/src/core/exchange/state_publisher_test.ts
+++ b/src/core/exchange/state_publisher_test.ts
@@ -167,10 +167,11 @@
 
 /**
  * Guards against saturating the holder's link with repeated assignments. After a
- * restart of all 72 VMs, every report was answered with all assignments, about 10 kB.
- * Reports every 500 ms took at least 6 Mbit/s of the holder's 10 Mbit/s, urgent reports
- * several times that. Orders to servers timed out, followers received nothing, and VMs
- * of low fitness held the term for 2 s each. There may have been further causes.
+ * restart of all 72 VMs, every report was answered with all assignments, about 10 kB. By
+ * this size, reports every 500 ms take at least 6 Mbit/s of the holder's 10 Mbit/s, urgent
+ * reports several times that. Each holder had no answer to hundreds of orders in 1.5 s,
+ * followers received nothing, and eleven VMs of low fitness held the term for 2 s each.
+ * The repeated assignments were not shown to be the only cause.
  */
 test("state publisher: all assignments are repeated to a follower only after a delay", (t) => {
   const { publisher, holder, report, sent, advanceHolder } = createPublisher();
--- a/src/core/exchange/token_exchange.ts
+++ b/src/core/exchange/token_exchange.ts
@@ -57,7 +57,7 @@
 
   /**
    * Uses the VM at address `holder` as the term holder from now on. If it is this VM, it
-   * hands out tokens.
+   * grants tokens.
    */
   follow(holder: string, now: number): void {
     this.#hasTokenSupport = false;
