--- a/src/core/exchange/configuration_watch.ts
+++ b/src/core/exchange/configuration_watch.ts
@@ -1,21 +1,21 @@
 /**
- * Fetches the configuration from the store when another VM has had a newer one for some
- * time. Otherwise a VM would keep the old one after a long poll whose response was lost
- * without an error.
+ * Fetches the configuration from the store when another VM has had a newer one
+ * for some time. Otherwise a VM would keep the old one after a long poll whose
+ * response was lost without an error.
  *
  * @module
  */
 import type { ClusterState, Emit } from "../cluster_state.ts";
 
 /**
- * Time in which a newer configuration may still arrive through the long poll or from
- * the term holder before it is fetched, in milliseconds.
+ * Time in which a newer configuration may still arrive through the long poll or
+ * from the term holder before it is fetched, in milliseconds.
  */
 const GRACE_PERIOD = 600;
 /**
- * The same for a VM that receives store updates from the term holder instead of the
- * store. They arrive with the answer to its next report, which can take up to 750 ms
- * on an otherwise idle VM.
+ * The same for a VM that receives store updates from the term holder instead of
+ * the store. They arrive with the answer to its next report, which can take up
+ * to 750 ms on an otherwise idle VM.
  */
 const HOLDER_UPDATE_GRACE_PERIOD = 1_000;
 /** Minimum time between two fetches, in milliseconds. */
@@ -24,7 +24,10 @@
 /** See the module's comment. Times are milliseconds of this VM's clock. */
 export class ConfigurationWatch {
   #fetchedAt = -Infinity;
-  /** When another VM was first found to have a newer configuration; Infinity if none. */
+  /**
+   * When another VM was first found to have a newer configuration; Infinity if
+   * none.
+   */
   #behindSince = Infinity;
 
   private constructor(
@@ -38,9 +41,10 @@
   }
 
   /**
-   * Compares the configuration version of another VM with this VM's and fetches the
-   * configuration if this VM's has been older for too long. `hasHolderUpdates` is true
-   * while this VM receives store updates from the term holder.
+   * Compares the configuration version of another VM with this VM's and fetches
+   * the configuration if this VM's has been older for too long.
+   * `hasHolderUpdates` is true while this VM receives store updates from the
+   * term holder.
    */
   compare(peerVersion: number, hasHolderUpdates: boolean, now: number): void {
     const { version } = this.clusterState.catalog;
--- a/src/core/exchange/overload_monitor.ts
+++ b/src/core/exchange/overload_monitor.ts
@@ -1,7 +1,7 @@
 /**
- * Runs on the term holder and detects overloaded servers of keyed services from the
- * reports of all VMs. A VM that sends a server one request every few seconds cannot
- * detect by itself that the server is at capacity.
+ * Runs on the term holder and detects overloaded servers of keyed services from
+ * the reports of all VMs. A VM that sends a server one request every few
+ * seconds cannot detect by itself that the server is at capacity.
  *
  * @module
  */
@@ -16,14 +16,14 @@
 import { MAXIMUM_RATES, type OverloadState } from "../peers/index.ts";
 
 /**
- * Time between two checks, in milliseconds: half of the time between two reports of a
- * follower.
+ * Time between two checks, in milliseconds: half of the time between two
+ * reports of a follower.
  */
 const CHECK_INTERVAL = 250;
 /**
- * Number of requests from which a server's load is published, in multiples of its
- * slots. A server with fewer requests has free slots by the time other VMs receive its
- * load.
+ * Number of requests from which a server's load is published, in multiples of
+ * its slots. A server with fewer requests has free slots by the time other VMs
+ * receive its load.
  */
 const LOAD_THRESHOLD = 2;
 /** Maximum number of server loads in one answer; bounds its size. */
@@ -50,8 +50,8 @@
   }
 
   /**
-   * Repeats the check if it is due, and applies the resulting limits on this VM. The
-   * followers receive them with the holder's answers.
+   * Repeats the check if it is due, and applies the resulting limits on this
+   * VM. The followers receive them with the holder's answers.
    */
   advance(holder: TermHolder, now: number): void {
     if (now - this.#checkedAt < CHECK_INTERVAL) return;
@@ -87,7 +87,10 @@
     }
   }
 
-  /** Loads of the service's servers that have reached the threshold for publication. */
+  /**
+   * Loads of the service's servers that have reached the threshold for
+   * publication.
+   */
   #loadsAtCapacity(service: string, now: number): OverloadState["loads"] {
     return this.clusterState.fleet.serversOf(service).flatMap((server) => {
       const reportedLoad = server.latestLoadReport(now);
--- a/src/core/exchange/peer_exchange.ts
+++ b/src/core/exchange/peer_exchange.ts
@@ -1,5 +1,6 @@
 /**
- * Sends this VM's messages to other VMs and handles the messages received from them.
+ * Sends this VM's messages to other VMs and handles the messages received from
+ * them.
  *
  * @module
  */
@@ -34,9 +35,9 @@
 import { StatePublisher } from "./state_publisher.ts";
 
 /**
- * Time between two calls of {@linkcode PeerExchange.advance} after which this process
- * is assumed to have been suspended, in milliseconds. Timers call it four times as
- * often.
+ * Time between two calls of {@linkcode PeerExchange.advance} after which this
+ * process is assumed to have been suspended, in milliseconds. Timers call it
+ * four times as often.
  */
 const SUSPENSION_THRESHOLD = 1_000;
 
@@ -94,9 +95,10 @@
   }
 
   /**
-   * Creates an exchange for the process at `ownAddress` that has received no messages.
-   * `seeds` are the addresses of VMs to contact while no configuration is known or the
-   * term holder sends no messages. `draw` returns a random number in [0, 1).
+   * Creates an exchange for the process at `ownAddress` that has received no
+   * messages. `seeds` are the addresses of VMs to contact while no
+   * configuration is known or the term holder sends no messages. `draw` returns
+   * a random number in [0, 1).
    */
   static create(
     clusterState: ClusterState,
@@ -126,9 +128,9 @@
   }
 
   /**
-   * Whether this VM receives store updates from the term holder instead of calling the
-   * store. Only observers do: unlike candidates, they need nothing else from the
-   * store.
+   * Whether this VM receives store updates from the term holder instead of
+   * calling the store. Only observers do: unlike candidates, they need nothing
+   * else from the store.
    */
   hasHolderUpdates(now: number): boolean {
     return this.campaign.isObserver &&
@@ -142,17 +144,18 @@
   }
 
   /**
-   * Handles a server's refusal of a request for a key that, to this VM's knowledge, is
-   * assigned to the server. This VM may have missed a change, so its next report is
-   * urgent.
+   * Handles a server's refusal of a request for a key that, to this VM's
+   * knowledge, is assigned to the server. This VM may have missed a change, so
+   * its next report is urgent.
    */
   keyRefused(): void {
     this.followerLink.expedite();
   }
 
   /**
-   * Handles the start or end of a rate limit that a server reported to this VM. The next
-   * report to the term holder is urgent, so that the other VMs receive the change.
+   * Handles the start or end of a rate limit that a server reported to this VM.
+   * The next report to the term holder is urgent, so that the other VMs receive
+   * the change.
    */
   rateLimitChanged(change: ServerRateLimitChange, now: number): void {
     this.clusterState.logRateLimitChange(change, now);
@@ -160,8 +163,8 @@
   }
 
   /**
-   * Time by which {@linkcode advance} must be called for an urgent or a first report;
-   * Infinity if there is none.
+   * Time by which {@linkcode advance} must be called for an urgent or a first
+   * report; Infinity if there is none.
    */
   nextAt(): number {
     return this.campaign.holder === null
@@ -169,7 +172,9 @@
       : Infinity;
   }
 
-  /** Follows the announced term holder if its term is newer than the known one. */
+  /**
+   * Follows the announced term holder if its term is newer than the known one.
+   */
   follow(holder: HolderAddress, now: number): void {
     const isNew = this.clusterState.acceptHolder(holder);
     if (!isNew) return;
@@ -251,9 +256,9 @@
   }
 
   /**
-   * Handles assignments read from the store. If they are newer than those known here and
-   * of the holder's term, the holder still runs, even if it is too busy to answer
-   * reports.
+   * Handles assignments read from the store. If they are newer than those known
+   * here and of the holder's term, the holder still runs, even if it is too
+   * busy to answer reports.
    */
   assignmentsRead(assignments: readonly Assignment[], now: number): void {
     const { holder, directory } = this.clusterState;
@@ -267,8 +272,9 @@
   }
 
   /**
-   * Requests the unexpired grants of the previous holder, in case it still runs. Without
-   * them, the new holder must assume that unreachable servers still hold their keys.
+   * Requests the unexpired grants of the previous holder, in case it still
+   * runs. Without them, the new holder must assume that unreachable servers
+   * still hold their keys.
    */
   requestFormerGrants(term: number, formerTerm: number): void {
     const former = this.clusterState.holder;
@@ -323,8 +329,8 @@
   }
 
   /**
-   * State to include in a report to the holder. If a report is due, the state contains a
-   * quarantine update.
+   * State to include in a report to the holder. If a report is due, the state
+   * contains a quarantine update.
    */
   #reportState(now: number): SenderState {
     const state = this.clusterState.senderState();
@@ -345,8 +351,8 @@
   }
 
   /**
-   * Time since the last message from the term holder, in milliseconds; 0 if this VM is
-   * the announced holder, which needs none.
+   * Time since the last message from the term holder, in milliseconds; 0 if
+   * this VM is the announced holder, which needs none.
    */
   #holderSilence(now: number): number {
     const isOwn = this.clusterState.holder?.address === this.ownAddress;
@@ -354,8 +360,9 @@
   }
 
   /**
-   * Sends a quarantine update. Any message can include one. This kind is used because
-   * older versions accept it: the rest of it only repeats the known term holder.
+   * Sends a quarantine update. Any message can include one. This kind is used
+   * because older versions accept it: the rest of it only repeats the known
+   * term holder.
    */
   #sendQuarantine({ address, update }: QuarantineSend): void {
     const { holder } = this.clusterState;
@@ -369,8 +376,8 @@
   }
 
   /**
-   * If a report is due, returns the latencies of keyed services' servers to include in
-   * it.
+   * If a report is due, returns the latencies of keyed services' servers to
+   * include in it.
    */
   #takeLatencies(now: number): ServerSamples[] {
     const { catalog, fleet } = this.clusterState;
@@ -394,8 +401,8 @@
     const { registry, fleet } = this.clusterState;
     const changes = update === null ? null : registry.applyUpdate(update);
     if (changes === null) return;
-    // The store may be reachable again before this VM has detected it. Servers whose
-    // entries expired during the outage get time to register again.
+    // The store may be reachable again before this VM has detected it. Servers
+    // whose entries expired during the outage get time to register again.
     if (this.store.isLost && changes.removed.length > 0) fleet.recovered(now);
     this.clusterState.applyServerChanges(
       fleet.apply(changes.entries, changes.removed, now, changes.unreadable),
@@ -421,8 +428,8 @@
   ): void {
     const isOfHolder = address === this.followerLink.holder;
     if (!isOfHolder || answersTo === undefined) return;
-    // The age of the store contact counts from when this VM sent the report, because the
-    // answer may have been delayed.
+    // The age of the store contact counts from when this VM sent the report,
+    // because the answer may have been delayed.
     const storeContactAt = answersTo - (storeSilence ?? Infinity);
     this.followerLink.reportAnswered(answersTo, storeContactAt);
     this.#quarantine.reportAnswered(address, answersTo);
@@ -454,10 +461,11 @@
   }
 
   /**
-   * Shows a follower that this VM, the last term holder, still runs although it has lost
-   * its authority. During a store outage no VM has authority. If no VM of high fitness
-   * were known to run, VMs of lower fitness would become candidates and, because there
-   * are more of them, win the election once the store is reachable again.
+   * Shows a follower that this VM, the last term holder, still runs although it
+   * has lost its authority. During a store outage no VM has authority. If no VM
+   * of high fitness were known to run, VMs of lower fitness would become
+   * candidates and, because there are more of them, win the election once the
+   * store is reachable again.
    */
   #announceLiveness(address: string, now: number): void {
     const { holder } = this.clusterState;
@@ -470,9 +478,10 @@
   }
 
   /**
-   * Handles a message that shows that the last term holder, which has lost its authority,
-   * still runs. It is ignored if this VM can reach the store: a holder that alone cannot
-   * reach it must not keep other VMs from being elected.
+   * Handles a message that shows that the last term holder, which has lost its
+   * authority, still runs. It is ignored if this VM can reach the store: a
+   * holder that alone cannot reach it must not keep other VMs from being
+   * elected.
    */
   #applyLiveness({ fitness }: HolderAddress, now: number): void {
     if (this.store.isLost) this.campaign.observeFitness(fitness, now);
--- a/src/core/exchange/peer_exchange_test.ts
+++ b/src/core/exchange/peer_exchange_test.ts
@@ -1,9 +1,9 @@
 /**
- * Guards against a VM that keeps using outdated assignments after it was suspended. The
- * term changed twice during a suspension of 4.4 s, the VM's first report was lost with a
- * failed connection, and its next regular report followed 500 ms later. Until then the VM
- * sent 44 requests to a server that no longer held their keys, although the server
- * answered each of them with 421.
+ * Guards against a VM that keeps using outdated assignments after it was
+ * suspended. The term changed twice during a suspension of 4.4 s, the VM's
+ * first report was lost with a failed connection, and its next regular report
+ * followed 500 ms later. Until then the VM sent 44 requests to a server that no
+ * longer held their keys, although the server answered each of them with 421.
  */
 import test from "ava";
 import { fingerprintOf } from "../../../test/support/fingerprint.ts";
@@ -14,7 +14,9 @@
 
 const HOLDER = "holder:1";
 
-/** Creates a VM that follows a holder; all keys of `s` are assigned to `i-1`. */
+/**
+ * Creates a VM that follows a holder; all keys of `s` are assigned to `i-1`.
+ */
 function createFollower() {
   const { entry, step } = createSteppedEntry({
     retryLimits: { ratio: 0.1, windowSeconds: 10, minimum: 1_000 },
@@ -177,9 +179,9 @@
   t.deepEqual(reportTimes(5_620, 6_200), [6_080]);
 });
 
-// A VM that cannot reach the store requests the state of other VMs every 1.5 s. Guards
-// against answers with the whole configuration to a VM that has it: with 2,000 routes
-// and 74 VMs they amounted to 360 MB within 10 s.
+// A VM that cannot reach the store requests the state of other VMs every 1.5 s.
+// Guards against answers with the whole configuration to a VM that has it: with
+// 2,000 routes and 74 VMs they amounted to 360 MB within 10 s.
 test("peer exchange: a VM that has the configuration is not sent it again", (t) => {
   const { step } = createFollower();
   const requestState = (configuration: number, takesParts?: boolean) => {
--- a/src/core/exchange/permit_exchange.ts
+++ b/src/core/exchange/permit_exchange.ts
@@ -1,9 +1,10 @@
 /**
- * Exchanges the messages by which VMs request permits from the term holder. A request
- * that has crashed a server needs a permit to run.
+ * Exchanges the messages by which VMs request permits from the term holder. A
+ * request that has crashed a server needs a permit to run.
  *
- * A VM that knows no term holder, or whose term holder does not answer, gets no permit.
- * It refuses such requests immediately instead of risking another server crash.
+ * A VM that knows no term holder, or whose term holder does not answer, gets no
+ * permit. It refuses such requests immediately instead of risking another
+ * server crash.
  *
  * @module
  */
@@ -49,8 +50,8 @@
   }
 
   /**
-   * Uses the VM at address `holder` as the term holder from now on. If it is this VM, it
-   * issues permits.
+   * Uses the VM at address `holder` as the term holder from now on. If it is
+   * this VM, it issues permits.
    */
   follow(holder: string, now: number): void {
     if (holder === this.ownAddress) this.#issuer.activate(now);
--- a/src/core/exchange/quarantine_exchange.ts
+++ b/src/core/exchange/quarantine_exchange.ts
@@ -1,17 +1,18 @@
 /**
  * Synchronizes records of requests that crash servers between VMs.
  *
- * Each VM includes its new records in its reports to the term holder until a report
- * with them is answered. The holder, which thus receives the records of all VMs, sends
- * those of requests that are quarantined, or close to it, to all VMs immediately. Every
- * report includes a digest of the sender's records of such requests. A VM that receives
- * a digest other than its own answers with all of its records of such requests, so that
- * a VM that has just started or has missed updates is up to date after its next report.
- * After a change of the holder, each VM sends all its records again. None of this
- * requires the store or the authority of a term.
+ * Each VM includes its new records in its reports to the term holder until a
+ * report with them is answered. The holder, which thus receives the records of
+ * all VMs, sends those of requests that are quarantined, or close to it, to all
+ * VMs immediately. Every report includes a digest of the sender's records of
+ * such requests. A VM that receives a digest other than its own answers with
+ * all of its records of such requests, so that a VM that has just started or
+ * has missed updates is up to date after its next report. After a change of the
+ * holder, each VM sends all its records again. None of this requires the store
+ * or the authority of a term.
  *
- * While no message from the holder arrives, the VMs at the seed addresses take its
- * place.
+ * While no message from the holder arrives, the VMs at the seed addresses take
+ * its place.
  *
  * @module
  */
@@ -19,44 +20,46 @@
 import type { QuarantineUpdate } from "../peers/index.ts";
 
 /**
- * Time without a digest from a VM after which no more updates are sent to it, in
- * milliseconds. Several of its reports are missing by then.
+ * Time without a digest from a VM after which no more updates are sent to it,
+ * in milliseconds. Several of its reports are missing by then.
  */
 const PEER_TIMEOUT = 3_000;
 /**
- * Minimum time between two answers to the same VM, in milliseconds. The records of the
- * first answer may still be in transit.
+ * Minimum time between two answers to the same VM, in milliseconds. The records
+ * of the first answer may still be in transit.
  */
 const ANSWER_INTERVAL = 400;
 /**
- * Minimum time between two updates of a VM to the seeds while they take the holder's
- * place, in milliseconds.
+ * Minimum time between two updates of a VM to the seeds while they take the
+ * holder's place, in milliseconds.
  */
 const SEED_INTERVAL = 500;
 /**
- * The same, in milliseconds per VM in the deployment, so that a seed receives at most
- * 200 updates per second. The larger of the two times applies.
+ * The same, in milliseconds per VM in the deployment, so that a seed receives
+ * at most 200 updates per second. The larger of the two times applies.
  */
 const SEED_INTERVAL_PER_VM = 5;
 /**
- * Minimum time between a report and an urgent one, in milliseconds per VM in the
- * deployment, so that the holder receives at most 100 urgent reports per second. Many
- * VMs detect the same server crash.
+ * Minimum time between a report and an urgent one, in milliseconds per VM in
+ * the deployment, so that the holder receives at most 100 urgent reports per
+ * second. Many VMs detect the same server crash.
  */
 const URGENT_INTERVAL_PER_VM = 10;
 /**
- * Time without a message from the holder after which the seeds take its place, in
- * milliseconds. Two answers are missing by then.
+ * Time without a message from the holder after which the seeds take its place,
+ * in milliseconds. Two answers are missing by then.
  */
 const HOLDER_TIMEOUT = 1_200;
 /**
- * Minimum time between two updates on requests that have crashed only one server, in
- * milliseconds per receiving VM, so that simultaneous crashes of many servers cause few
- * messages. A copy of such a request that arrives at another VM within this time can
- * crash one more server.
+ * Minimum time between two updates on requests that have crashed only one
+ * server, in milliseconds per receiving VM, so that simultaneous crashes of
+ * many servers cause few messages. A copy of such a request that arrives at
+ * another VM within this time can crash one more server.
  */
 const SINGLE_CRASH_INTERVAL_PER_VM = 2;
-/** Maximum number of reports that wait for an answer; older ones count as lost. */
+/**
+ * Maximum number of reports that wait for an answer; older ones count as lost.
+ */
 const MAXIMUM_PENDING = 8;
 
 /** An update to send to the VM at `address`. */
@@ -66,8 +69,8 @@
 }
 
 /**
- * A report that has not been answered. `revision` is that of the local records at the
- * time it was sent.
+ * A report that has not been answered. `revision` is that of the local records
+ * at the time it was sent.
  */
 interface PendingReport {
   sentAt: number;
@@ -87,7 +90,10 @@
   /** Revision of the local records up to which the holder has received them. */
   #holderRevision = 0;
   #pending: PendingReport[] = [];
-  /** Revision and digest of the local records when they were last sent to the peers. */
+  /**
+   * Revision and digest of the local records when they were last sent to the
+   * peers.
+   */
   #publishedRevision = 0;
   #publishedDigest = 0;
   #publishedAt = -Infinity;
@@ -108,9 +114,9 @@
   }
 
   /**
-   * Whether this VM has observed changes that it has not yet sent to the holder and that
-   * should not wait for the next regular report. `vmCount` is the estimated number of VMs
-   * that send reports to the holder, or null.
+   * Whether this VM has observed changes that it has not yet sent to the holder
+   * and that should not wait for the next regular report. `vmCount` is the
+   * estimated number of VMs that send reports to the holder, or null.
    */
   isUrgent(vmCount: number | null, now: number): boolean {
     const last = this.#pending.at(-1);
@@ -122,16 +128,16 @@
   }
 
   /**
-   * An update with the digest only. A receiver whose digest differs answers with its
-   * records.
+   * An update with the digest only. A receiver whose digest differs answers
+   * with its records.
    */
   get digestUpdate(): QuarantineUpdate {
     return { digest: this.quarantine.digest, records: [] };
   }
 
   /**
-   * Returns the update to include in a report that is sent now to the holder at address
-   * `holder`.
+   * Returns the update to include in a report that is sent now to the holder at
+   * address `holder`.
    */
   report(holder: string, now: number): QuarantineUpdate {
     this.#follow(holder);
@@ -156,8 +162,8 @@
   }
 
   /**
-   * Merges the update of the VM at `address`. Returns the answer, or null if none is
-   * needed.
+   * Merges the update of the VM at `address`. Returns the answer, or null if
+   * none is needed.
    */
   receive(
     address: string,
@@ -182,9 +188,9 @@
   }
 
   /**
-   * Returns the updates that are due: to peers and, while they take the holder's place,
-   * to the seeds. `silence` is the time since the holder's last message in milliseconds,
-   * `vmCount` the estimated number of VMs or null.
+   * Returns the updates that are due: to peers and, while they take the
+   * holder's place, to the seeds. `silence` is the time since the holder's last
+   * message in milliseconds, `vmCount` the estimated number of VMs or null.
    */
   advance(
     silence: number,
@@ -233,8 +239,8 @@
   }
 
   /**
-   * Returns the digest and the records that changed after revision `since`. Those that
-   * the VM at `address` is known to have are left out.
+   * Returns the digest and the records that changed after revision `since`.
+   * Those that the VM at `address` is known to have are left out.
    */
   #createUpdate(
     since: number,
--- a/src/core/exchange/quarantine_exchange_test.ts
+++ b/src/core/exchange/quarantine_exchange_test.ts
@@ -23,8 +23,8 @@
 }
 
 /**
- * Records at a VM that a server process, such as `server#incarnation`, crashed while it
- * ran the request.
+ * Records at a VM that a server process, such as `server#incarnation`, crashed
+ * while it ran the request.
  */
 function crash({ quarantine }: Vm, serverProcess: string, now: number): void {
   quarantine.recordCrash(REQUEST.complete, "h/crash", serverProcess, now);
@@ -45,8 +45,8 @@
 }
 
 /**
- * Delivers a report of each follower to the holder and the resulting messages. If
- * `isLost`, the reports are not delivered.
+ * Delivers a report of each follower to the holder and the resulting messages.
+ * If `isLost`, the reports are not delivered.
  */
 function report(holder: Vm, followers: Vm[], now: number, isLost = false) {
   for (const follower of followers) {
--- a/src/core/exchange/quarantine_record.ts
+++ b/src/core/exchange/quarantine_record.ts
@@ -1,10 +1,11 @@
 /**
- * Keeps the crash records of requests that are quarantined, or close to it, in the
- * store, so that they survive a failure of all VMs.
+ * Keeps the crash records of requests that are quarantined, or close to it, in
+ * the store, so that they survive a failure of all VMs.
  *
- * The term holder writes all of them when the stored ones lack one, which is rare. Every
- * VM reads them on startup, together with the address of the term holder. Writes need no
- * locking: if two holders write one after the other, the readers merge what both wrote.
+ * The term holder writes all of them when the stored ones lack one, which is
+ * rare. Every VM reads them on startup, together with the address of the term
+ * holder. Writes need no locking: if two holders write one after the other, the
+ * readers merge what both wrote.
  *
  * @module
  */
--- a/src/core/exchange/quarantine_record_test.ts
+++ b/src/core/exchange/quarantine_record_test.ts
@@ -11,8 +11,8 @@
 const QUARANTINED_AT = 1_000;
 
 /**
- * Creates a record of an empty quarantine. `quarantineRequest` records three crashes of
- * a request.
+ * Creates a record of an empty quarantine. `quarantineRequest` records three
+ * crashes of a request.
  */
 function createRecord() {
   const quarantine = Quarantine.create();
--- a/src/core/exchange/state_exchange.ts
+++ b/src/core/exchange/state_exchange.ts
@@ -40,8 +40,8 @@
   }
 
   /**
-   * Sends the requests that are due. They include `quarantineUpdate`. `holder` is the
-   * address of the term holder, or null.
+   * Sends the requests that are due. They include `quarantineUpdate`. `holder`
+   * is the address of the term holder, or null.
    */
   advance(
     quarantineUpdate: QuarantineUpdate,
@@ -60,8 +60,8 @@
   }
 
   /**
-   * Sends this VM's state to a VM that requested it. Parts that the requester already
-   * has are left out if it accepts partial state.
+   * Sends this VM's state to a VM that requested it. Parts that the requester
+   * already has are left out if it accepts partial state.
    */
   sendState(address: string, request: MessageOf<"state.wanted">): void {
     const { catalog, fleet, directory, holder } = this.clusterState;
@@ -90,9 +90,9 @@
   }
 
   /**
-   * Applies another VM's state if the store is unreachable or no configuration is known.
-   * Returns the term holder that the state names, or null if it names none or was
-   * ignored.
+   * Applies another VM's state if the store is unreachable or no configuration
+   * is known. Returns the term holder that the state names, or null if it names
+   * none or was ignored.
    */
   applyState(
     { state }: MessageOf<"state.told">,
--- a/src/core/exchange/state_publisher.ts
+++ b/src/core/exchange/state_publisher.ts
@@ -1,10 +1,12 @@
 /**
- * Publishes the term holder's state to its followers: each change of the assignments
- * and of the registry once, and to a follower that has missed changes only those.
+ * Publishes the term holder's state to its followers: each change of the
+ * assignments and of the registry once, and to a follower that has missed
+ * changes only those.
  *
- * A message to all followers costs as many transfers as there are followers, so nothing
- * is sent twice without need. With 90 followers, sending all assignments to each VM that
- * was one change behind when it reported took 11 Mbit/s.
+ * A message to all followers costs as many transfers as there are followers, so
+ * nothing is sent twice without need. With 90 followers, sending all
+ * assignments to each VM that was one change behind when it reported took 11
+ * Mbit/s.
  *
  * @module
  */
@@ -26,13 +28,14 @@
 import type { StoreHealth } from "../store_health.ts";
 
 /**
- * Time that a published change may take to reach a follower, in milliseconds. During
- * this time a report without the change is answered as if the change had arrived.
+ * Time that a published change may take to reach a follower, in milliseconds.
+ * During this time a report without the change is answered as if the change had
+ * arrived.
  */
 const PROPAGATION_TIME = 120;
 /**
- * Maximum number of published versions that are kept. A follower with one of them gets
- * only the changes after it. Covers some seconds of a busy holder.
+ * Maximum number of published versions that are kept. A follower with one of
+ * them gets only the changes after it. Covers some seconds of a busy holder.
  */
 const MAXIMUM_VERSIONS = 256;
 
@@ -55,17 +58,20 @@
   #versions: PublishedVersion[] = [];
   /** Registry position up to which changes were published, or null. */
   #publishedPosition: number | null = null;
-  /** Version of the active configuration, and since when it is known to be active. */
+  /**
+   * Version of the active configuration, and since when it is known to be
+   * active.
+   */
   #configuration = { version: -1, since: -Infinity };
   /**
-   * Pacing of messages with all assignments, which count as the same within a term, and
-   * of those with the configuration, by its version.
+   * Pacing of messages with all assignments, which count as the same within a
+   * term, and of those with the configuration, by its version.
    */
   readonly #assignmentPacing = MessagePacing.create();
   readonly #configurationPacing = MessagePacing.create();
   /**
-   * Last report of each follower, by address, that was received while changes were not
-   * published yet.
+   * Last report of each follower, by address, that was received while changes
+   * were not published yet.
    */
   readonly #deferredReports = new Map<string, FollowerReport>();
 
@@ -96,16 +102,20 @@
   }
 
   /**
-   * Returns messages with the address of the new holder to the followers that receive
-   * store updates from this VM, if it was the holder. They would otherwise learn of the
-   * new holder only after their timeout for messages from this VM.
+   * Returns messages with the address of the new holder to the followers that
+   * receive store updates from this VM, if it was the holder. They would
+   * otherwise learn of the new holder only after their timeout for messages
+   * from this VM.
    */
   announceSuccessor(holder: HolderAddress): PeerSend[] {
     const senderState = this.clusterState.senderState();
     return this.#link.announceSuccessor(senderState, holder);
   }
 
-  /** Publishes the changes of the registry and, if it is due, of the assignments. */
+  /**
+   * Publishes the changes of the registry and, if it is due, of the
+   * assignments.
+   */
   advance(holder: TermHolder, now: number): void {
     this.#publishRegistry();
     this.#overload.advance(holder, now);
@@ -144,9 +154,9 @@
   }
 
   /**
-   * Records the latencies that a follower measured, except of servers that have restarted
-   * since the registry position that the follower has reached: it may have measured the
-   * previous process.
+   * Records the latencies that a follower measured, except of servers that have
+   * restarted since the registry position that the follower has reached: it may
+   * have measured the previous process.
    */
   #recordLatencies({ latencies, position }: FollowerReport, now: number): void {
     const { fleet, registry } = this.clusterState;
@@ -156,10 +166,10 @@
   }
 
   /**
-   * Sends a follower the configuration if it lacks it: immediately if the follower
-   * receives store updates from this VM, and otherwise after the time in which the
-   * follower's own long poll should have returned it. The response to the poll may have
-   * been lost.
+   * Sends a follower the configuration if it lacks it: immediately if the
+   * follower receives store updates from this VM, and otherwise after the time
+   * in which the follower's own long poll should have returned it. The response
+   * to the poll may have been lost.
    */
   #sendConfiguration(
     address: string,
@@ -183,8 +193,8 @@
   }
 
   /**
-   * Sends a follower the assignments or the changes that it lacks, unless they may
-   * still be in transit.
+   * Sends a follower the assignments or the changes that it lacks, unless they
+   * may still be in transit.
    */
   #catchUp(
     holder: TermHolder,
@@ -285,9 +295,9 @@
   ): RegistryUpdate | null {
     const { registry } = this.clusterState;
     if (position === null) return null;
-    // The time at which the registry data was current, on the follower's clock. The
-    // age of the data counts from when the follower sent the report, since the report
-    // and the answer can be delayed.
+    // The time at which the registry data was current, on the follower's clock.
+    // The age of the data counts from when the follower sent the report, since
+    // the report and the answer can be delayed.
     return registry.updateSince(position, sentAt - (now - registry.knownAt));
   }
 
--- a/src/core/exchange/state_publisher_test.ts
+++ b/src/core/exchange/state_publisher_test.ts
@@ -38,8 +38,8 @@
     (...some) => effects.push(...some),
   );
   /**
-   * Returns a report of a follower that has `version` of the assignments; 0 if it has
-   * none.
+   * Returns a report of a follower that has `version` of the assignments; 0 if
+   * it has none.
    */
   const report = (version: number): FollowerReport => ({
     kind: "keys.asked",
@@ -52,7 +52,9 @@
     sentAt: 0,
     fitness: 1,
   });
-  /** Returns the messages sent since the last call, except answers to reports. */
+  /**
+   * Returns the messages sent since the last call, except answers to reports.
+   */
   const sent = () =>
     effects.splice(0).flatMap((each) =>
       each.kind === "peer.send" && each.message.kind !== "holder.alive"
@@ -166,12 +168,13 @@
 });
 
 /**
- * Guards against saturating the holder's link with repeated assignments. After a
- * restart of all 72 VMs, every report was answered with all assignments, about 10 kB. By
- * this size, reports every 500 ms take at least 6 Mbit/s of the holder's 10 Mbit/s, urgent
- * reports several times that. Each holder had no answer to hundreds of orders in 1.5 s,
- * followers received nothing, and eleven VMs of low fitness held the term for 2 s each.
- * The repeated assignments were not shown to be the only cause.
+ * Guards against saturating the holder's link with repeated assignments. After
+ * a restart of all 72 VMs, every report was answered with all assignments,
+ * about 10 kB. By this size, reports every 500 ms take at least 6 Mbit/s of the
+ * holder's 10 Mbit/s, urgent reports several times that. Each holder had no
+ * answer to hundreds of orders in 1.5 s, followers received nothing, and eleven
+ * VMs of low fitness held the term for 2 s each. The repeated assignments were
+ * not shown to be the only cause.
  */
 test("state publisher: all assignments are repeated to a follower only after a delay", (t) => {
   const { publisher, holder, report, sent, advanceHolder } = createPublisher();
@@ -226,9 +229,10 @@
   t.true(sent().length >= 90);
 });
 
-// Guards against sending the configuration again after every report of a follower with a
-// slow link before the first copy has arrived. The copies kept the link full and delayed
-// the holder's answers until the follower assumed that the holder had failed.
+// Guards against sending the configuration again after every report of a
+// follower with a slow link before the first copy has arrived. The copies kept
+// the link full and delayed the holder's answers until the follower assumed
+// that the holder had failed.
 test("state publisher: a configuration in transit is not sent again", (t) => {
   const { clusterState, publisher, holder, report, sent } = createPublisher();
   clusterState.configure(emptyConfiguration(2));
--- a/src/core/exchange/token_exchange.ts
+++ b/src/core/exchange/token_exchange.ts
@@ -1,6 +1,6 @@
 /**
- * Exchanges the messages by which VMs request tokens for rate-limited servers from the
- * term holder.
+ * Exchanges the messages by which VMs request tokens for rate-limited servers
+ * from the term holder.
  *
  * @module
  */
@@ -19,8 +19,8 @@
   readonly tokens: RateTokens;
   readonly #buckets = TokenBuckets.create();
   /**
-   * Whether the holder supports token requests. A holder of an older version closes
-   * the connection when it receives one.
+   * Whether the holder supports token requests. A holder of an older version
+   * closes the connection when it receives one.
    */
   #hasTokenSupport = false;
 
@@ -42,8 +42,8 @@
   }
 
   /**
-   * Creates the exchange of the VM at `ownAddress`. `vmCount` returns the estimated
-   * number of VMs or null, and `draw` a random number in [0, 1).
+   * Creates the exchange of the VM at `ownAddress`. `vmCount` returns the
+   * estimated number of VMs or null, and `draw` a random number in [0, 1).
    */
   static create(
     clusterState: ClusterState,
@@ -56,8 +56,8 @@
   }
 
   /**
-   * Uses the VM at address `holder` as the term holder from now on. If it is this VM, it
-   * grants tokens.
+   * Uses the VM at address `holder` as the term holder from now on. If it is
+   * this VM, it grants tokens.
    */
   follow(holder: string, now: number): void {
     this.#hasTokenSupport = false;
@@ -65,8 +65,8 @@
   }
 
   /**
-   * Handles the holder's answer to a report, which shows whether it supports token
-   * requests.
+   * Handles the holder's answer to a report, which shows whether it supports
+   * token requests.
    */
   holderAnswered(hasTokenSupport: boolean): void {
     this.#hasTokenSupport = hasTokenSupport;
--- a/src/core/exchange/token_exchange_test.ts
+++ b/src/core/exchange/token_exchange_test.ts
@@ -14,8 +14,8 @@
 const FULL_AT = 2_000;
 
 /**
- * Creates VMs that follow the holder `h` from time 0 and know a server that is limited
- * to five requests per second.
+ * Creates VMs that follow the holder `h` from time 0 and know a server that is
+ * limited to five requests per second.
  */
 function createVms(addresses: readonly string[]) {
   return addresses.map((address) => {
@@ -74,8 +74,8 @@
   t.deepEqual(b.sent, []);
 });
 
-// Guards against a holder of an older version closing the connection on a message of
-// unknown kind.
+// Guards against a holder of an older version closing the connection on a
+// message of unknown kind.
 test("token exchange: no token is requested from a holder without token support", (t) => {
   const [a] = createVms(["a"]);
   a.exchange.holderAnswered(false);
--- a/src/core/peers/compact_assignment.ts
+++ b/src/core/peers/compact_assignment.ts
@@ -1,5 +1,6 @@
 /**
- * Converts assignments to the compact form used in messages between VMs, and back.
+ * Converts assignments to the compact form used in messages between VMs, and
+ * back.
  *
  * @module
  */
@@ -10,8 +11,8 @@
 const NO_SERVER = -1;
 
 /**
- * Returns the compact form of an assignment. The term and the version, which the
- * message has anyway, are left out.
+ * Returns the compact form of an assignment. The term and the version, which
+ * the message has anyway, are left out.
  */
 export function compactAssignment(assignment: Assignment): CompactAssignment {
   const servers: CompactAssignment["servers"] = [];
@@ -32,8 +33,8 @@
 }
 
 /**
- * Restores an assignment from its compact form and the term and version of the message
- * that contained it.
+ * Restores an assignment from its compact form and the term and version of the
+ * message that contained it.
  */
 export function expandAssignment(
   { service, servers, ranges }: CompactAssignment,
--- a/src/core/peers/follower_link.ts
+++ b/src/core/peers/follower_link.ts
@@ -1,11 +1,11 @@
 /**
  * A follower's side of the communication with the term holder.
  *
- * The follower regularly reports to the holder which keys its callers request, and
- * receives each change of the key assignments when it is made. When its state appears
- * out of date, it sends an urgent report and repeats it until it is answered, because a
- * connection can fail without an error. While the holder does not answer, the follower
- * reads the assignments from the store instead.
+ * The follower regularly reports to the holder which keys its callers request,
+ * and receives each change of the key assignments when it is made. When its
+ * state appears out of date, it sends an urgent report and repeats it until it
+ * is answered, because a connection can fail without an error. While the holder
+ * does not answer, the follower reads the assignments from the store instead.
  *
  * @module
  */
@@ -13,34 +13,35 @@
 import type { FollowerReport, PeerSend, SenderState } from "./peer_message.ts";
 
 /**
- * Time between two reports, in milliseconds. It limits how soon the holder detects a
- * busy key and how old the registry data received from the holder can be. Half of this
- * interval brought no benefit for busy keys and took a tenth of an idle VM's processor
- * time.
+ * Time between two reports, in milliseconds. It limits how soon the holder
+ * detects a busy key and how old the registry data received from the holder can
+ * be. Half of this interval brought no benefit for busy keys and took a tenth
+ * of an idle VM's processor time.
  */
 const REPORT_INTERVAL = 500;
 /**
- * Initial time between two reports while this VM's state appears out of date, in
- * milliseconds. It doubles with each unanswered report, up to the regular interval.
+ * Initial time between two reports while this VM's state appears out of date,
+ * in milliseconds. It doubles with each unanswered report, up to the regular
+ * interval.
  */
 const URGENT_REPORT_INTERVAL = 60;
 /** Number of VMs whose first reports a new holder can answer without delay. */
 const IMMEDIATE_REPORTS = 20;
 /**
- * Time over which the first reports to a new holder are spread, in milliseconds per VM
- * beyond that number. The holder accepts connections one at a time and answers each
- * first report with all assignments.
+ * Time over which the first reports to a new holder are spread, in milliseconds
+ * per VM beyond that number. The holder accepts connections one at a time and
+ * answers each first report with all assignments.
  */
 const REPORT_SPREAD_PER_VM = 3;
 /**
- * Time without a message from the holder after which the assignments are fetched from
- * the store, in milliseconds.
+ * Time without a message from the holder after which the assignments are
+ * fetched from the store, in milliseconds.
  */
 const HOLDER_TIMEOUT = 1_600;
 /**
- * The same for a process that has never received a message from any holder. After a
- * failure of all VMs, the holder named in the store no longer runs, and only the store
- * has the last assignments.
+ * The same for a process that has never received a message from any holder.
+ * After a failure of all VMs, the holder named in the store no longer runs, and
+ * only the store has the last assignments.
  */
 const FIRST_CONTACT_TIMEOUT = 60;
 /**
@@ -49,16 +50,17 @@
  */
 const FETCH_INTERVAL = 1_000;
 /**
- * Maximum age of the store data received from the holder with which this VM makes no
- * store calls of its own, in milliseconds. The age consists of the time since the last
- * answered report, up to half a second, and the time since the holder's last answered
- * store call. If the holder cannot reach the store, this VM calls it after this time,
- * which leaves a second to apply a configuration that must be in force within 2.5 s.
+ * Maximum age of the store data received from the holder with which this VM
+ * makes no store calls of its own, in milliseconds. The age consists of the
+ * time since the last answered report, up to half a second, and the time since
+ * the holder's last answered store call. If the holder cannot reach the store,
+ * this VM calls it after this time, which leaves a second to apply a
+ * configuration that must be in force within 2.5 s.
  */
 const MAXIMUM_STORE_AGE = 1_500;
 /**
- * Maximum number of keys per service in one report. More keys would not make the
- * sample more accurate.
+ * Maximum number of keys per service in one report. More keys would not make
+ * the sample more accurate.
  */
 const MAXIMUM_SAMPLED_KEYS = 128;
 
@@ -114,9 +116,10 @@
   }
 
   /**
-   * Follows a new term holder; `address` is null if it is this VM. All VMs learn of a
-   * new holder at the same time, so each delays its first report by the share `chance`,
-   * a random number in [0, 1), of the spread. All later reports are spread with it.
+   * Follows a new term holder; `address` is null if it is this VM. All VMs
+   * learn of a new holder at the same time, so each delays its first report by
+   * the share `chance`, a random number in [0, 1), of the spread. All later
+   * reports are spread with it.
    */
   follow(
     address: string | null,
@@ -137,7 +140,9 @@
     this.#receivedAt = now;
   }
 
-  /** Makes the next report urgent because this VM's state appears out of date. */
+  /**
+   * Makes the next report urgent because this VM's state appears out of date.
+   */
   expedite(): void {
     this.#urgentReport ??= {
       sentAt: Infinity,
@@ -146,8 +151,8 @@
   }
 
   /**
-   * Whether the store data received from the holder is recent enough to replace this
-   * VM's own calls to the store.
+   * Whether the store data received from the holder is recent enough to replace
+   * this VM's own calls to the store.
    */
   isStoreStateCurrent(now: number): boolean {
     return this.#holder !== null &&
@@ -155,8 +160,9 @@
   }
 
   /**
-   * Records the holder's answer to the report sent at `sentAt`. `storeContactAt` is
-   * the latest time at which the holder is known to have reached the store.
+   * Records the holder's answer to the report sent at `sentAt`.
+   * `storeContactAt` is the latest time at which the holder is known to have
+   * reached the store.
    */
   reportAnswered(sentAt: number, storeContactAt: number): void {
     this.#storeContactAt = Math.max(this.#storeContactAt, storeContactAt);
@@ -172,8 +178,8 @@
   }
 
   /**
-   * When an urgent report or the first report to a new holder is due; Infinity if
-   * neither is.
+   * When an urgent report or the first report to a new holder is due; Infinity
+   * if neither is.
    */
   nextAt(): number {
     if (this.#holder === null) return Infinity;
@@ -191,11 +197,11 @@
   }
 
   /**
-   * Returns the effects that are due. `position` is the registry position that this VM
-   * has reached, or null. `latencies` and `rates` are the servers' latencies and rate
-   * limits collected since the last report. `mayFetch` is true if assignments are needed
-   * and the store answers, `hasHolderUpdates` while this VM receives store updates from
-   * the holder.
+   * Returns the effects that are due. `position` is the registry position that
+   * this VM has reached, or null. `latencies` and `rates` are the servers'
+   * latencies and rate limits collected since the last report. `mayFetch` is
+   * true if assignments are needed and the store answers, `hasHolderUpdates`
+   * while this VM receives store updates from the holder.
    */
   advance(
     now: number,
--- a/src/core/peers/holder_link.ts
+++ b/src/core/peers/holder_link.ts
@@ -1,6 +1,6 @@
 /**
- * The term holder's side of the communication with its followers: tracks the followers
- * and creates the messages to them.
+ * The term holder's side of the communication with its followers: tracks the
+ * followers and creates the messages to them.
  *
  * @module
  */
@@ -19,29 +19,37 @@
 import { compactAssignment } from "./compact_assignment.ts";
 
 /**
- * Time without a report after which a follower counts as stopped, in milliseconds.
- * Several reports are missing by then.
+ * Time without a report after which a follower counts as stopped, in
+ * milliseconds. Several reports are missing by then.
  */
 const FOLLOWER_TIMEOUT = 3_000;
 
 /**
- * Maximum number of messages with changes per millisecond, over all followers. With
- * 10 followers the holder can publish every 7 ms, with 73 every 49 ms. Both are short
- * compared with the 110 ms or more that requests for moving keys wait.
+ * Maximum number of messages with changes per millisecond, over all followers.
+ * With 10 followers the holder can publish every 7 ms, with 73 every 49 ms.
+ * Both are short compared with the 110 ms or more that requests for moving keys
+ * wait.
  */
 const MAXIMUM_MESSAGE_RATE = 1.5;
 
-/** All assignments of the holder's term, with the state that goes into the message. */
+/**
+ * All assignments of the holder's term, with the state that goes into the
+ * message.
+ */
 export interface AssignmentSnapshot {
   holderState: HolderState;
   assignments: readonly Assignment[];
 }
 
-/** Limits and load of servers that receive more requests than they can handle. */
+/**
+ * Limits and load of servers that receive more requests than they can handle.
+ */
 export interface OverloadState {
   limits: readonly KeyLimit[];
   loads: readonly ServerLoad[];
-  /** Rate limits of servers of all services, including recently stopped ones. */
+  /**
+   * Rate limits of servers of all services, including recently stopped ones.
+   */
   rates: readonly ServerRateLimit[];
 }
 
@@ -59,8 +67,8 @@
   /** Followers that receive store updates from this VM instead of the store. */
   readonly #updateReceivers = new Set<string>();
   /**
-   * The last message with the configuration. The same object is sent to all followers, so
-   * that it is encoded only once.
+   * The last message with the configuration. The same object is sent to all
+   * followers, so that it is encoded only once.
    */
   #configurationMessage: MessageOf<"configuration.told"> | null = null;
 
@@ -80,8 +88,8 @@
   }
 
   /**
-   * Records a follower's report. `hasHolderUpdates` is true if the follower receives
-   * store updates from this VM.
+   * Records a follower's report. `hasHolderUpdates` is true if the follower
+   * receives store updates from this VM.
    */
   reportReceived(
     address: string,
@@ -99,16 +107,18 @@
   }
 
   /**
-   * Minimum time between two publications, in milliseconds. It increases with the number
-   * of followers, because a VM can send only a limited number of messages.
+   * Minimum time between two publications, in milliseconds. It increases with
+   * the number of followers, because a VM can send only a limited number of
+   * messages.
    */
   get publishInterval(): number {
     return this.#reportedAt.size / MAXIMUM_MESSAGE_RATE;
   }
 
   /**
-   * Returns the answer to the report that a follower sent at `answersTo` by its own
-   * clock. It contains registry changes and the state of overloaded servers.
+   * Returns the answer to the report that a follower sent at `answersTo` by its
+   * own clock. It contains registry changes and the state of overloaded
+   * servers.
    */
   answerReport(
     address: string,
@@ -187,9 +197,9 @@
   }
 
   /**
-   * Returns messages with the address of the new term holder to the followers that
-   * receive store updates from this VM, and removes all followers, since they now follow
-   * the new holder.
+   * Returns messages with the address of the new term holder to the followers
+   * that receive store updates from this VM, and removes all followers, since
+   * they now follow the new holder.
    */
   announceSuccessor(
     senderState: SenderState,
--- a/src/core/peers/message_pacing.ts
+++ b/src/core/peers/message_pacing.ts
@@ -1,16 +1,17 @@
 /**
- * Limits how often the term holder repeats large messages to a follower. A message that
- * a slow link or a busy holder delays is not sent again for every report that the
- * follower sends before the message arrives. The copies would keep the link full, and
- * the holder's answers would queue behind them until the follower assumes that the
- * holder has failed.
+ * Limits how often the term holder repeats large messages to a follower. A
+ * message that a slow link or a busy holder delays is not sent again for every
+ * report that the follower sends before the message arrives. The copies would
+ * keep the link full, and the holder's answers would queue behind them until
+ * the follower assumes that the holder has failed.
  *
  * @module
  */
 
 /**
- * Time after which a message is sent again to a follower that still lacks it, in
- * milliseconds. A follower that lost the message with a failed connection waits this long.
+ * Time after which a message is sent again to a follower that still lacks it,
+ * in milliseconds. A follower that lost the message with a failed connection
+ * waits this long.
  */
 const RESEND_DELAY = 900;
 
@@ -18,7 +19,10 @@
 interface SentMessage {
   version: number;
   sentAt: number;
-  /** When the follower sent the report that caused the message, by its own clock. */
+  /**
+   * When the follower sent the report that caused the message, by its own
+   * clock.
+   */
   reportSentAt: number;
 }
 
@@ -34,10 +38,10 @@
   }
 
   /**
-   * Returns whether to send `version` now to a follower whose report was sent at
-   * `reportSentAt` by its own clock, and if so records it as sent. The clock starts with
-   * the process, so a `reportSentAt` before the last one means that the follower has
-   * restarted and lacks what was sent previously.
+   * Returns whether to send `version` now to a follower whose report was sent
+   * at `reportSentAt` by its own clock, and if so records it as sent. The clock
+   * starts with the process, so a `reportSentAt` before the last one means that
+   * the follower has restarted and lacks what was sent previously.
    */
   maySend(
     address: string,
--- a/src/core/peers/peer_message.ts
+++ b/src/core/peers/peer_message.ts
@@ -1,6 +1,6 @@
 /**
- * Messages between the router processes of different VMs. VMs of older versions exchange
- * them too, so kinds and properties keep their names.
+ * Messages between the router processes of different VMs. VMs of older versions
+ * exchange them too, so kinds and properties keep their names.
  *
  * @module
  */
@@ -28,8 +28,8 @@
 /** Crash records of a VM: the requests that crashed servers. */
 const quarantineUpdateSchema = z.object({
   /**
-   * Digest of the sender's records that all VMs should have, or null if the receiver
-   * need not compare it with its own.
+   * Digest of the sender's records that all VMs should have, or null if the
+   * receiver need not compare it with its own.
    */
   digest: count.nullable(),
   records: z.array(crashRecordSchema).max(MAXIMUM_RECORDS),
@@ -41,21 +41,21 @@
 /** Part of the sender's state that all messages include. */
 const senderStateSchema = z.object({
   /**
-   * Newest assignments that the sender has: their term, and their version, which counts
-   * the changes within the term.
+   * Newest assignments that the sender has: their term, and their version,
+   * which counts the changes within the term.
    */
   term: count,
   version: count,
   /** Version of the sender's active configuration, or -1 if there is none. */
   configuration: z.number().int(),
   /**
-   * Evacuated availability zones. Absent while the sender does not know them, and in
-   * messages of older versions.
+   * Evacuated availability zones. Absent while the sender does not know them,
+   * and in messages of older versions.
    */
   evacuation: evacuationSnapshotSchema.optional(),
   /**
-   * Included in reports, in requests for state and in messages whose only purpose is
-   * to transfer it. Older versions omit and ignore it.
+   * Included in reports, in requests for state and in messages whose only
+   * purpose is to transfer it. Older versions omit and ignore it.
    */
   quarantine: quarantineUpdateSchema.optional(),
 });
@@ -63,7 +63,10 @@
 /** See {@linkcode senderStateSchema}. */
 export type SenderState = z.infer<typeof senderStateSchema>;
 
-/** The holder of a term: its VM, the address of the VM's process, and its fitness. */
+/**
+ * The holder of a term: its VM, the address of the VM's process, and its
+ * fitness.
+ */
 const holderAddressSchema = z.object({
   term: count,
   vm: z.string(),
@@ -75,16 +78,21 @@
 /** See {@linkcode holderAddressSchema}. */
 export type HolderAddress = z.infer<typeof holderAddressSchema>;
 
-/** State that most messages of the term holder to its followers include in addition. */
+/**
+ * State that most messages of the term holder to its followers include in
+ * addition.
+ */
 const holderStateSchema = senderStateSchema.extend({
-  /** Number of VMs from which the holder receives reports, plus one for itself. */
+  /**
+   * Number of VMs from which the holder receives reports, plus one for itself.
+   */
   vms: count,
   /** Fitness of the fittest VM that the holder knows of, including itself. */
   fittest: z.number().nonnegative(),
   /**
-   * Milliseconds since the holder sent its last store call that was answered, which is
-   * the maximum age of its copy of the store's data. Absent in messages of older
-   * versions.
+   * Milliseconds since the holder sent its last store call that was answered,
+   * which is the maximum age of its copy of the store's data. Absent in
+   * messages of older versions.
    */
   storeSilence: z.number().nonnegative().optional(),
 });
@@ -92,13 +100,19 @@
 /** See {@linkcode holderStateSchema}. */
 export type HolderState = z.infer<typeof holderStateSchema>;
 
-/** A service's key ranges; they refer to servers by index to keep messages small. */
+/**
+ * A service's key ranges; they refer to servers by index to keep messages
+ * small.
+ */
 const compactAssignmentSchema = z.object({
   service: z.string(),
   servers: z.array(
     z.object({ id: z.string(), address: z.string().nullable() }),
   ),
-  /** First key, last key, index of the server or -1, and whether the range is open. */
+  /**
+   * First key, last key, index of the server or -1, and whether the range is
+   * open.
+   */
   ranges: z.array(
     z.tuple([count, count, z.number().int().min(-1), z.boolean()]),
   ),
@@ -119,22 +133,28 @@
 export const MAXIMUM_RATES = 256;
 
 /**
- * Rate limits reported by servers. Absent in messages of older versions. If a holder's
- * message includes the list, even an empty one, the holder supports token requests.
+ * Rate limits reported by servers. Absent in messages of older versions. If a
+ * holder's message includes the list, even an empty one, the holder supports
+ * token requests.
  */
 const ratesSchema = z.array(
   rateLimitReportSchema.extend({ server: z.string() }),
 )
   .max(MAXIMUM_RATES).optional();
 
-/** A follower's report to the term holder on the keys that were requested recently. */
+/**
+ * A follower's report to the term holder on the keys that were requested
+ * recently.
+ */
 const followerReportSchema = senderStateSchema.extend({
   kind: z.literal("keys.asked"),
-  /** Sample of the keys that were requested since the last report, by service. */
+  /**
+   * Sample of the keys that were requested since the last report, by service.
+   */
   samples: z.array(z.object({ service: z.string(), keys: z.array(count) })),
   /**
-   * Latencies of the servers that hold keys, measured since the last report: the mean in
-   * milliseconds and the number of responses.
+   * Latencies of the servers that hold keys, measured since the last report:
+   * the mean in milliseconds and the number of responses.
    */
   latencies: z.array(
     z.object({
@@ -152,8 +172,8 @@
   /** Fitness of the sender's VM to hold the term. */
   fitness: z.number().nonnegative(),
   /**
-   * Whether the sender receives store updates from the holder instead of the store.
-   * Older versions omit it and read the store.
+   * Whether the sender receives store updates from the holder instead of the
+   * store. Older versions omit it and read the store.
    */
   isTold: z.boolean().optional(),
   rates: ratesSchema,
@@ -168,8 +188,8 @@
   /** Registry changes that the follower lacks, or null. */
   registry: registryUpdateSchema.nullable(),
   /**
-   * When the answered report was sent, by the follower's clock. Older versions omit
-   * it.
+   * When the answered report was sent, by the follower's clock. Older versions
+   * omit it.
    */
   answersTo: z.number().optional(),
   /** All limits on requests for keys; absent if there are none. */
@@ -185,8 +205,9 @@
   /** Version to which the changes apply. */
   since: count,
   /**
-   * All services, each with its changed ranges, which replace the ranges of the same
-   * keys. A service without changed ranges is included too, since it gets the new version.
+   * All services, each with its changed ranges, which replace the ranges of the
+   * same keys. A service without changed ranges is included too, since it gets
+   * the new version.
    */
   changes: z.array(compactAssignmentSchema),
 });
@@ -198,24 +219,27 @@
 });
 
 /**
- * Sent by the holder with all assignments, at the start of its term and to followers
- * that lack more than recent changes.
+ * Sent by the holder with all assignments, at the start of its term and to
+ * followers that lack more than recent changes.
  */
 const assignmentsToldSchema = holderStateSchema.extend({
   kind: z.literal("assignments.told"),
   assignments: z.array(compactAssignmentSchema),
 });
 
-/** Sent by the holder with the active configuration to a follower that lacks it. */
+/**
+ * Sent by the holder with the active configuration to a follower that lacks it.
+ */
 const configurationToldSchema = senderStateSchema.extend({
   kind: z.literal("configuration.told"),
   told: configurationSchema,
 });
 
 /**
- * Names the current term holder. A former holder sends it to its followers when it has
- * a successor. A holder that has lost its authority but has no successor names itself,
- * to show that it is still running. It is also sent to transfer a quarantine update.
+ * Names the current term holder. A former holder sends it to its followers when
+ * it has a successor. A holder that has lost its authority but has no successor
+ * names itself, to show that it is still running. It is also sent to transfer a
+ * quarantine update.
  */
 const holderChangedSchema = senderStateSchema.extend({
   kind: z.literal("holder.changed"),
@@ -226,8 +250,8 @@
 const stateWantedSchema = senderStateSchema.extend({
   kind: z.literal("state.wanted"),
   /**
-   * Whether the answer may omit what the sender already has. Older versions need the
-   * whole state.
+   * Whether the answer may omit what the sender already has. Older versions
+   * need the whole state.
    */
   takesParts: z.boolean().optional(),
 });
@@ -244,7 +268,10 @@
   }),
 });
 
-/** Sent by a new term holder to the previous one to request its unexpired grants. */
+/**
+ * Sent by a new term holder to the previous one to request its unexpired
+ * grants.
+ */
 const termTakenSchema = senderStateSchema.extend({
   kind: z.literal("term.taken"),
   formerTerm: count,
@@ -294,8 +321,8 @@
   /** The server's rate limit as the sender knows it. */
   requestsPerSecond: z.number().positive(),
   /**
-   * Whether no other route to the server's service has a more urgent priority than the
-   * route of the request.
+   * Whether no other route to the server's service has a more urgent priority
+   * than the route of the request.
    */
   isUrgent: z.boolean(),
 });
--- a/src/core/peers/state_request.ts
+++ b/src/core/peers/state_request.ts
@@ -1,7 +1,7 @@
 /**
- * Requests state from other VMs while the store is unreachable. A process that has just
- * started needs a configuration; one that has a configuration needs the changes that it
- * cannot read from the store.
+ * Requests state from other VMs while the store is unreachable. A process that
+ * has just started needs a configuration; one that has a configuration needs
+ * the changes that it cannot read from the store.
  *
  * @module
  */
@@ -12,8 +12,8 @@
 } from "./peer_message.ts";
 
 /**
- * Time between two rounds of requests while this process has no configuration and so
- * cannot serve callers, in milliseconds.
+ * Time between two rounds of requests while this process has no configuration
+ * and so cannot serve callers, in milliseconds.
  */
 const STARTUP_INTERVAL = 400;
 /** The same for a process that has a configuration and lacks only changes. */
@@ -26,17 +26,18 @@
   private constructor(private readonly seeds: readonly string[]) {}
 
   /**
-   * Creates a requester that sends to the term holder and, while no configuration is
-   * known, to the VMs at the addresses `seeds`.
+   * Creates a requester that sends to the term holder and, while no
+   * configuration is known, to the VMs at the addresses `seeds`.
    */
   static create(seeds: readonly string[]): StateRequester {
     return new StateRequester(seeds);
   }
 
   /**
-   * Returns the requests that are due. `senderState` and `quarantineUpdate` are included
-   * in them. `holder` is the address of the term holder, or null. `isStarting` is true
-   * while no configuration is known, `isStoreLost` while the store is unreachable.
+   * Returns the requests that are due. `senderState` and `quarantineUpdate` are
+   * included in them. `holder` is the address of the term holder, or null.
+   * `isStarting` is true while no configuration is known, `isStoreLost` while
+   * the store is unreachable.
    */
   advance(
     now: number,
--- a/src/core/peers/vm_count.ts
+++ b/src/core/peers/vm_count.ts
@@ -1,15 +1,15 @@
 /**
- * Estimates the number of VMs that share the capacity of the servers and the retry
- * budget. A new term holder has received reports from few VMs at first, and with too low
- * a count every VM would use too large a share. The estimate is therefore the largest
- * recent count.
+ * Estimates the number of VMs that share the capacity of the servers and the
+ * retry budget. A new term holder has received reports from few VMs at first,
+ * and with too low a count every VM would use too large a share. The estimate
+ * is therefore the largest recent count.
  *
  * @module
  */
 
 /**
- * Time for which a larger count is kept, in milliseconds: the window of the retry
- * budget, in which VMs that have stopped still count.
+ * Time for which a larger count is kept, in milliseconds: the window of the
+ * retry budget, in which VMs that have stopped still count.
  */
 const RETENTION_TIME = 10_000;
 
@@ -17,7 +17,10 @@
 export class VmCount {
   #largest: number | null = null;
   #largestAt = -Infinity;
-  /** Largest count since the estimate was last observed; the estimate falls to it. */
+  /**
+   * Largest count since the estimate was last observed; the estimate falls to
+   * it.
+   */
   #replacement: { count: number; at: number } | null = null;
 
   private constructor() {}
@@ -32,7 +35,10 @@
     return this.#largest;
   }
 
-  /** Records a count of the running VMs that this VM or the term holder has made. */
+  /**
+   * Records a count of the running VMs that this VM or the term holder has
+   * made.
+   */
   observe(count: number, now: number): void {
     if (this.#largest === null || count >= this.#largest) {
       this.#largest = count;
