--- a/src/core/exchange/quarantine_exchange.ts
+++ b/src/core/exchange/quarantine_exchange.ts
@@ -1,5 +1,5 @@
 /**
- * Synchronizes records of requests that crash servers between VMs.
+ * Synchronizes between VMs the records of requests that crash servers.
  *
  * Each VM includes its new records in its reports to the term holder until a
  * report with them is answered. The holder, which thus receives the records of
--- a/src/core/peers/peer_message.ts
+++ b/src/core/peers/peer_message.ts
@@ -277,7 +277,7 @@
   formerTerm: count,
 });
 
-/** Answer of the previous holder, which no longer gives orders. */
+/** Answer of the previous holder, which no longer sends orders to servers. */
 const termYieldedSchema = senderStateSchema.extend({
   kind: z.literal("term.yielded"),
   /** Term of the new holder. */
