--- a/src/core/exchange/state_exchange.ts
+++ b/src/core/exchange/state_exchange.ts
@@ -9,13 +9,13 @@
   type HolderAddress,
   type MessageOf,
   type QuarantineUpdate,
-  StateRequest,
+  StateRequester,
 } from "../peers/index.ts";
 import type { StoreHealth } from "../store_health.ts";
 
 /** Sends and answers state requests, and applies the answers. */
 export class StateExchange {
-  readonly #request: StateRequest;
+  readonly #requester: StateRequester;
 
   private constructor(
     private readonly clusterState: ClusterState,
@@ -23,7 +23,7 @@
     private readonly emit: Emit,
     seeds: readonly string[],
   ) {
-    this.#request = StateRequest.create(seeds);
+    this.#requester = StateRequester.create(seeds);
   }
 
   /**
@@ -40,15 +40,15 @@
   }
 
   /**
-   * Sends the requests that are due. They include `quarantineUpdate`. `holder` is the
-   * address of the term holder, or null.
+   * Sends the requests that are due. They include `quarantineUpdate`. `holder`
+   * is the address of the term holder, or null.
    */
   advance(
     quarantineUpdate: QuarantineUpdate,
     holder: string | null,
     now: number,
   ): void {
-    const requests = this.#request.advance(
+    const requests = this.#requester.advance(
       now,
       this.clusterState.senderState(),
       quarantineUpdate,
@@ -60,8 +60,8 @@
   }
 
   /**
-   * Sends this VM's state to a VM that requested it. Parts that the requester already
-   * has are left out if it accepts partial state.
+   * Sends this VM's state to a VM that requested it. Parts that the requester
+   * already has are left out if it accepts partial state.
    */
   sendState(address: string, request: MessageOf<"state.wanted">): void {
     const { catalog, fleet, directory, holder } = this.clusterState;
@@ -90,9 +90,9 @@
   }
 
   /**
-   * Applies another VM's state if the store is unreachable or no configuration is known.
-   * Returns the term holder that the state names, or null if it names none or was
-   * ignored.
+   * Applies another VM's state if the store is unreachable or no configuration
+   * is known. Returns the term holder that the state names, or null if it names
+   * none or was ignored.
    */
   applyState(
     { state }: MessageOf<"state.told">,
