--- a/test/ownership/request_load.ts
+++ b/test/ownership/request_load.ts
@@ -63,7 +63,7 @@
    * Warm-up of servers that start during the simulation; if left out, they take the full
    * load at once.
    */
-  warmUp?: ColdStart;
+  warmUp?: ServerWarmUp;
   /** A request that crashes each server that starts to run it; none if left out. */
   crashingRequest?: CrashingRequest;
   /** Rate limit that servers report; none if left out. */
@@ -91,7 +91,7 @@
 }
 
 /** Warm-up of a server. */
-export interface ColdStart {
+export interface ServerWarmUp {
   /** Time for which the server is cold after its start, in milliseconds. */
   duration: number;
   /** Maximum rate that the configuration permits for a cold server. */
