--- a/src/cli/serve_command.ts
+++ b/src/cli/serve_command.ts
@@ -76,7 +76,7 @@
 ): void {
   try {
     const current = readYamlFile(file, entrySettingsSchema).value;
-    entry.logReload(JSON.stringify(current) !== JSON.stringify(settings));
+    entry.logSettingsRead(JSON.stringify(current) !== JSON.stringify(settings));
   } catch (error) {
     entry.logReloadFailure(errorText(error));
   }
--- a/src/core/dispatch/cold_admission.ts
+++ b/src/core/dispatch/cold_admission.ts
@@ -55,7 +55,7 @@
   /** Records that a request was sent to a server. */
   requestSent(server: TrackedServer, now: number): void {
     const interval = this.#interval(server, now);
-    if (interval === null) this.rateShare.forget(server.id);
+    if (interval === null) this.rateShare.remove(server.id);
     else this.rateShare.requestSent(server.id, interval, now);
   }
 
--- a/src/core/dispatch/cold_admission_test.ts
+++ b/src/core/dispatch/cold_admission_test.ts
@@ -177,7 +177,7 @@
       fleet,
       availabilityZone: fleet.get("s")!.entry.availabilityZone,
       vmCount: 1,
-      cold,
+      coldAdmission: cold,
       tokens: RateTokens.create(
         { requestToken: () => null },
         () => 1,
--- a/src/core/dispatch/dispatch_context.ts
+++ b/src/core/dispatch/dispatch_context.ts
@@ -23,9 +23,9 @@
   directory: KeyDirectory;
   keyLimits: KeyLimits;
   quarantine: Quarantine;
-  crashes: CrashDetector;
+  crashDetector: CrashDetector;
   permits: RunPermits;
-  cold: ColdAdmission;
+  coldAdmission: ColdAdmission;
   tokens: RateTokens;
   /** Availability zone of this VM. */
   availabilityZone: string;
--- a/src/core/dispatch/dispatch_effect.ts
+++ b/src/core/dispatch/dispatch_effect.ts
@@ -37,7 +37,7 @@
 }
 
 /** Sends an error response that plumloft generated to a caller. */
-export interface Refusal {
+export interface ErrorResponse {
   kind: "request.refuse";
   exchange: number;
   /** HTTP status. */
@@ -62,6 +62,6 @@
   | AttemptStart
   | AttemptCancel
   | Delivery
-  | Refusal
+  | ErrorResponse
   | ServerProbe
   | LogLine;
--- a/src/core/dispatch/dispatch_planner.ts
+++ b/src/core/dispatch/dispatch_planner.ts
@@ -6,7 +6,7 @@
  * @module
  */
 import type { TrackedServer } from "../fleet/index.ts";
-import type { Hold } from "../quarantine/index.ts";
+import type { QuarantinedRequest } from "../quarantine/index.ts";
 import type { DispatchContext } from "./dispatch_context.ts";
 import type { RangeBackoff } from "./range_backoff.ts";
 import type { PendingRequest } from "./request.ts";
@@ -39,7 +39,7 @@
    * Refused because the request is quarantined: servers crashed while they ran
    * it.
    */
-  | { kind: "quarantined"; hold: Hold }
+  | { kind: "quarantined"; quarantined: QuarantinedRequest }
   /**
    * Refused because waiting would not help: the request has crashed a server
    * and another copy of it is running, all servers are leaving, or a rate limit
@@ -121,8 +121,11 @@
   /** Decides whether and where `request` can be sent now. */
   plan(request: PendingRequest, now: number): DispatchPlan {
     const { fleet, availabilityZone, draw, quarantine } = this.context;
-    const hold = quarantine.hold(request.arrival.fingerprint, now);
-    if (hold !== null) return { kind: "quarantined", hold };
+    const quarantined = quarantine.quarantinedRequest(
+      request.arrival.fingerprint,
+      now,
+    );
+    if (quarantined !== null) return { kind: "quarantined", quarantined };
     if (now < request.retryNotBefore) {
       return requestSpecificWait(
         "its server broke off",
@@ -134,14 +137,14 @@
     if (request.key !== null) {
       return this.#planKeyed(request, request.key, now);
     }
-    const { cold, tokens } = this.context;
+    const { coldAdmission, tokens } = this.context;
     const vmCount = this.context.vmCount();
     const isUrgent = this.#isUrgent(request);
     const context = {
       fleet,
       availabilityZone,
       vmCount,
-      cold,
+      coldAdmission,
       tokens,
       isUrgent,
       draw,
@@ -236,7 +239,7 @@
     if (now > keysServedUntil(server)) {
       return transientWait("the key's server is leaving");
     }
-    if (!this.context.cold.maySend(server, now)) {
+    if (!this.context.coldAdmission.maySend(server, now)) {
       return openEndedWait("the key's server is cold");
     }
     if (!hasCapacity(server, now, this.context.vmCount())) {
--- a/src/core/dispatch/dispatcher.ts
+++ b/src/core/dispatch/dispatcher.ts
@@ -296,7 +296,7 @@
       assignments: `${term}.${version}`,
     });
     server.started(number, now);
-    this.context.cold.requestSent(server, now);
+    this.context.coldAdmission.requestSent(server, now);
     this.context.tokens.requestSent(server, now);
     this.#effects.push({
       kind: "attempt.start",
@@ -457,13 +457,13 @@
   /** Ends a quarantined request, so that it cannot crash another server. */
   #refuseQuarantined(
     request: PendingRequest,
-    { hold }: DispatchPlan & { kind: "quarantined" },
+    { quarantined }: DispatchPlan & { kind: "quarantined" },
     now: number,
   ): void {
     const detail = {
-      fingerprint: hold.request,
-      ends: hold.runs.length,
-      left: Math.round(hold.left),
+      fingerprint: quarantined.request,
+      ends: quarantined.runs.length,
+      left: Math.round(quarantined.left),
     };
     this.#log.write("warn", "request.held_back", request, now, detail);
     if (request.mayHaveRun) {
@@ -472,7 +472,7 @@
     const refusal = this.#responses.quarantineRefusal(
       request,
       QUARANTINED,
-      hold.left,
+      quarantined.left,
       now,
     );
     this.#finish(request, null);
@@ -513,7 +513,7 @@
     for (const request of [...queue]) {
       const { fingerprint } = request.arrival;
       const isQuarantined =
-        this.context.quarantine.hold(fingerprint, now) !== null;
+        this.context.quarantine.quarantinedRequest(fingerprint, now) !== null;
       const needsCapacity = request.key === null &&
         request.checkAt === Infinity;
       if (isAtCapacity && needsCapacity && !isQuarantined) {
--- a/src/core/dispatch/dispatcher_test.ts
+++ b/src/core/dispatch/dispatcher_test.ts
@@ -89,7 +89,7 @@
   assign(1, true);
   const keyLimits = KeyLimits.create();
   const quarantine = Quarantine.create();
-  const crashes = CrashDetector.create(quarantine, () => {});
+  const crashDetector = CrashDetector.create(quarantine, () => {});
   const permits = RunPermits.create({
     requestPermit: () => permitAnswer(),
     release: () => {},
@@ -105,9 +105,9 @@
     directory,
     keyLimits,
     quarantine,
-    crashes,
+    crashDetector,
     permits,
-    cold: ColdAdmission.create(catalog, () => vmCount, draw),
+    coldAdmission: ColdAdmission.create(catalog, () => vmCount, draw),
     tokens,
     availabilityZone: "a",
     retryLimits: { ratio: 0.2, windowSeconds: 10, minimum: 50 },
@@ -597,12 +597,12 @@
     directory: KeyDirectory.create(),
     keyLimits: KeyLimits.create(),
     quarantine,
-    crashes: CrashDetector.create(quarantine, () => {}),
+    crashDetector: CrashDetector.create(quarantine, () => {}),
     permits: RunPermits.create({
       requestPermit: () => null,
       release: () => {},
     }),
-    cold: ColdAdmission.create(catalog, () => null, () => 0),
+    coldAdmission: ColdAdmission.create(catalog, () => null, () => 0),
     tokens: RateTokens.create(
       { requestToken: () => null },
       () => null,
--- a/src/core/dispatch/outcome_review.ts
+++ b/src/core/dispatch/outcome_review.ts
@@ -176,7 +176,7 @@
     attempt: Attempt,
     now: number,
   ): void {
-    const { fleet, crashes } = this.context;
+    const { fleet, crashDetector } = this.context;
     const server = fleet.get(attempt.server);
     if (!server?.has(attempt.number)) return;
     const { id, host, fingerprint } = arrival;
@@ -185,7 +185,7 @@
       target: `${host}${arrival.target}`,
       fingerprint: fingerprint.complete,
     };
-    const probe = crashes.connectionBroke(server, request, now);
+    const probe = crashDetector.connectionBroke(server, request, now);
     if (probe !== null) this.emit(probe);
   }
 
@@ -198,7 +198,9 @@
     attempt: Attempt,
     now: number,
   ): void {
-    if (server?.has(attempt.number)) this.context.crashes.exited(server, now);
+    if (server?.has(attempt.number)) {
+      this.context.crashDetector.exited(server, now);
+    }
   }
 
   /**
--- a/src/core/dispatch/server_choice.ts
+++ b/src/core/dispatch/server_choice.ts
@@ -65,7 +65,7 @@
   availabilityZone: string;
   /** Number of VMs that share the servers, or null when unknown. */
   vmCount: number | null;
-  cold: ColdAdmission;
+  coldAdmission: ColdAdmission;
   tokens: RateTokens;
   /** Whether no route to the service is more urgent than the request's. */
   isUrgent: boolean;
@@ -110,7 +110,7 @@
   now: number,
   context: ChoiceContext,
 ): TrackedServer | null {
-  const { fleet, vmCount, cold, tokens } = context;
+  const { fleet, vmCount, coldAdmission, tokens } = context;
   const meanLatency = fleet.meanLatency(service, now);
   const usable = sample(fleet.serversOf(service), context.draw).filter((
     server,
@@ -120,14 +120,14 @@
   );
   const pool = healthy.length > 0 ? healthy : usable;
   const candidates = pool.filter((server) =>
-    hasCapacity(server, now, vmCount) && cold.maySend(server, now)
+    hasCapacity(server, now, vmCount) && coldAdmission.maySend(server, now)
   );
   requestToken(candidates, now, context);
   let best: TrackedServer | null = null;
   let lowest = Infinity;
   for (const server of candidates) {
     if (!tokens.isReady(server, now)) continue;
-    const isRestricted = cold.isCold(server, now) ||
+    const isRestricted = coldAdmission.isCold(server, now) ||
       tokens.isLimited(server, now);
     const isSameZone =
       server.entry.availabilityZone === context.availabilityZone;
--- a/src/core/entry.ts
+++ b/src/core/entry.ts
@@ -19,7 +19,7 @@
   type KeyspaceEffect,
   TermCampaign,
 } from "./keyspace/index.ts";
-import { PeerExchange, QuarantineRecord } from "./exchange/index.ts";
+import { PeerExchange, QuarantineStorage } from "./exchange/index.ts";
 import { uniformFloat64 } from "./random.ts";
 import { Shutdown } from "./shutdown.ts";
 import { StoreHealth } from "./store_health.ts";
@@ -49,7 +49,7 @@
   readonly #shutdown: Shutdown;
   readonly #registryTiming: RegistryTiming;
   readonly #store = StoreHealth.create();
-  readonly #quarantineRecord: QuarantineRecord;
+  readonly #quarantineStorage: QuarantineStorage;
   #isReady = false;
   /** Whether this VM reads the store's feeds: see the effect `feeds.follow`. */
   #isFollowingFeeds = true;
@@ -68,7 +68,7 @@
     );
     const { catalog, fleet, directory, keyLimits } = this.clusterState;
     const { quarantine, crashDetector } = this.clusterState;
-    this.#quarantineRecord = QuarantineRecord.create(quarantine);
+    this.#quarantineStorage = QuarantineStorage.create(quarantine);
     this.campaign = TermCampaign.create(
       options.leaseTiming,
       fleet,
@@ -91,18 +91,18 @@
       directory,
       keyLimits,
       quarantine,
-      crashes: crashDetector,
+      crashDetector,
       permits: this.peers.permitExchange.permits,
       tokens: this.peers.tokenExchange.tokens,
-      cold: ColdAdmission.create(
+      coldAdmission: ColdAdmission.create(
         catalog,
-        () => this.vms,
+        () => this.vmCount,
         uniformFloat64(options.seed + 1),
       ),
       availabilityZone: options.availabilityZone,
       retryLimits: options.retryLimits,
       startedAt: () => this.#startedAt,
-      vmCount: () => this.vms,
+      vmCount: () => this.vmCount,
       keyRefused: () => this.peers.keyRefused(),
       rateLimitChanged: (change, now) =>
         this.peers.rateLimitChanged(change, now),
@@ -123,8 +123,8 @@
   }
 
   /** Estimated number of VMs, or null if it is not known yet. */
-  get vms(): number | null {
-    return this.peers.vms;
+  get vmCount(): number | null {
+    return this.peers.vmCount;
   }
 
   /** Time since the last answered call to the store was sent, in milliseconds. */
@@ -185,14 +185,14 @@
       case "servers.read":
         return this.#readServers(event);
       case "servers.failed":
-        return this.clusterState.registry.failed(event.isExpired, now);
+        return this.clusterState.registry.readFailed(event.isExpired, now);
       case "assignments.read":
         this.peers.assignmentsRead(event.assignments, now);
         return this.clusterState.assign(event.assignments);
       case "quarantine.read":
-        return this.#quarantineRecord.read(event.records, now);
+        return this.#quarantineStorage.read(event.records, now);
       case "quarantine.written":
-        return this.#quarantineRecord.written(event.isDone, now);
+        return this.#quarantineStorage.written(event.isDone, now);
       case "holder.read":
         return this.campaign.onHolderRead();
       case "holder.announced":
@@ -326,7 +326,7 @@
       else this.#emit(each);
     }
     if (this.campaign.holder !== null && !this.#store.isFailing(now)) {
-      const write = this.#quarantineRecord.advance(now);
+      const write = this.#quarantineStorage.advance(now);
       if (write !== null) this.#emit(write);
     }
     const to = this.campaign.phase;
--- a/src/core/entry_status.ts
+++ b/src/core/entry_status.ts
@@ -73,7 +73,7 @@
     },
     isReady: entry.isReady,
     pending: entry.dispatcher.pending,
-    vms: entry.vms,
+    vms: entry.vmCount,
     storeSilence: Math.round(entry.storeSilence(now)),
     term: {
       phase: entry.campaign.phase,
@@ -101,11 +101,13 @@
       open: each.ranges.filter((range) => range.isOpen).length,
       servers: new Set(each.ranges.map((range) => range.server)).size,
     })),
-    quarantine: entry.clusterState.quarantine.holds(now).map((hold) => ({
-      fingerprint: hold.request,
-      target: hold.target,
-      ends: hold.runs.length,
-      left: Math.round(hold.left),
+    quarantine: entry.clusterState.quarantine.quarantinedRequests(now).map((
+      request,
+    ) => ({
+      fingerprint: request.request,
+      target: request.target,
+      ends: request.runs.length,
+      left: Math.round(request.left),
     })),
   };
 }
--- a/src/core/exchange/index.ts
+++ b/src/core/exchange/index.ts
@@ -1,2 +1,2 @@
 export * from "./peer_exchange.ts";
-export * from "./quarantine_record.ts";
+export * from "./quarantine_storage.ts";
--- a/src/core/exchange/peer_exchange.ts
+++ b/src/core/exchange/peer_exchange.ts
@@ -78,7 +78,7 @@
       clusterState,
       emit,
       ownAddress,
-      () => this.vms,
+      () => this.vmCount,
       draw,
     );
     this.#stateExchange = StateExchange.create(
@@ -123,7 +123,7 @@
   }
 
   /** Estimated number of VMs, or null if it is not known yet. */
-  get vms(): number | null {
+  get vmCount(): number | null {
     return this.#vmCount.value;
   }
 
@@ -184,7 +184,7 @@
     this.permitExchange.follow(address, now);
     this.tokenExchange.follow(address, now);
     const chance = this.draw();
-    this.followerLink.follow(isOwn ? null : address, this.vms, chance, now);
+    this.followerLink.follow(isOwn ? null : address, this.vmCount, chance, now);
     this.campaign.observeFitness(fitness, now);
   }
 
@@ -343,11 +343,13 @@
   #shareQuarantine(now: number): void {
     const updates = this.#quarantine.advance(
       this.#holderSilence(now),
-      this.vms,
+      this.vmCount,
       now,
     );
     for (const each of updates) this.#sendQuarantine(each);
-    if (this.#quarantine.isUrgent(this.vms, now)) this.followerLink.expedite();
+    if (this.#quarantine.isUrgent(this.vmCount, now)) {
+      this.followerLink.expedite();
+    }
   }
 
   /**
@@ -403,7 +405,9 @@
     if (changes === null) return;
     // The store may be reachable again before this VM has detected it. Servers
     // whose entries expired during the outage get time to register again.
-    if (this.store.isLost && changes.removed.length > 0) fleet.recovered(now);
+    if (this.store.isLost && changes.removed.length > 0) {
+      fleet.registryRecovered(now);
+    }
     this.clusterState.applyServerChanges(
       fleet.apply(changes.entries, changes.removed, now, changes.unreadable),
       now,
@@ -473,7 +477,7 @@
     this.#send(address, {
       kind: "holder.changed",
       ...this.clusterState.senderState(),
-      holder: { ...holder, fitness: this.campaign.fittest(now) },
+      holder: { ...holder, fitness: this.campaign.highestFitness(now) },
     });
   }
 
--- a/src/core/exchange/permit_exchange.ts
+++ b/src/core/exchange/permit_exchange.ts
@@ -11,7 +11,7 @@
 import type { ClusterState, Emit } from "../cluster_state.ts";
 import type { MessageOf } from "../peers/index.ts";
 import {
-  MAXIMUM_PERMIT,
+  MAXIMUM_PERMIT_DURATION,
   type PermitAnswer,
   PermitIssuer,
   RunPermits,
@@ -91,7 +91,7 @@
   ): PermitAnswer | null {
     const address = this.clusterState.holder?.address;
     if (address === undefined) {
-      return { isGranted: false, left: MAXIMUM_PERMIT };
+      return { isGranted: false, left: MAXIMUM_PERMIT_DURATION };
     }
     if (address === this.ownAddress) {
       return this.#issuer.issue(request, address, duration, now);
--- a/src/core/exchange/permit_exchange_test.ts
+++ b/src/core/exchange/permit_exchange_test.ts
@@ -5,12 +5,12 @@
 } from "../../../test/support/peer_messages.ts";
 import { ClusterState } from "../cluster_state.ts";
 import type { PeerSend } from "../peers/index.ts";
-import { MAXIMUM_PERMIT } from "../quarantine/index.ts";
+import { MAXIMUM_PERMIT_DURATION } from "../quarantine/index.ts";
 import { PermitExchange, type PermitMessage } from "./permit_exchange.ts";
 
 const REQUEST = "fingerprint";
 /** Time from which the issuer issues permits, in milliseconds. */
-const ISSUING_FROM = MAXIMUM_PERMIT;
+const ISSUING_FROM = MAXIMUM_PERMIT_DURATION;
 
 interface Vm {
   address: string;
--- a/src/core/exchange/quarantine_exchange_test.ts
+++ b/src/core/exchange/quarantine_exchange_test.ts
@@ -66,7 +66,7 @@
 
 /** Returns a test for VMs that quarantine the request at `now`. */
 const isQuarantinedAt = (now: number) => ({ quarantine }: Vm) =>
-  quarantine.hold(REQUEST, now) !== null;
+  quarantine.quarantinedRequest(REQUEST, now) !== null;
 
 test("quarantine exchange: crashes detected by three VMs reach all VMs with one report of each", (t) => {
   const holder = createVm("h");
--- a/src/core/exchange/quarantine_record.ts
+++ b/src/core/exchange/quarantine_storage.ts
@@ -24,7 +24,7 @@
 }
 
 /** See the module's comment. Times are milliseconds of this VM's clock. */
-export class QuarantineRecord {
+export class QuarantineStorage {
   /** Keys of the records known to be in the store. */
   #storedKeys = new Set<string>();
   /** Keys of the records in a write that has not ended, or null. */
@@ -36,8 +36,8 @@
   private constructor(private readonly quarantine: Quarantine) {}
 
   /** Creates a record of `quarantine` that has not read the store. */
-  static create(quarantine: Quarantine): QuarantineRecord {
-    return new QuarantineRecord(quarantine);
+  static create(quarantine: Quarantine): QuarantineStorage {
+    return new QuarantineStorage(quarantine);
   }
 
   /** Handles records read from the store. */
--- a/src/core/exchange/quarantine_record_test.ts
+++ b/src/core/exchange/quarantine_storage_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import { fingerprintOf } from "../../../test/support/fingerprint.ts";
 import { Quarantine } from "../quarantine/index.ts";
-import { QuarantineRecord } from "./quarantine_record.ts";
+import { QuarantineStorage } from "./quarantine_storage.ts";
 
 const REQUEST = fingerprintOf("/crash");
 /**
@@ -16,7 +16,7 @@
  */
 function createRecord() {
   const quarantine = Quarantine.create();
-  const record = QuarantineRecord.create(quarantine);
+  const record = QuarantineStorage.create(quarantine);
   const quarantineRequest = (request = REQUEST.complete) => {
     for (const serverProcess of ["a#1", "b#1", "c#1"]) {
       quarantine.recordCrash(request, "h/crash", serverProcess, 0);
@@ -55,7 +55,7 @@
   const { records } = former.record.advance(QUARANTINED_AT)!;
   const { record, quarantine } = createRecord();
   record.read(records, 50);
-  t.not(quarantine.hold(REQUEST, 50), null);
+  t.not(quarantine.quarantinedRequest(REQUEST, 50), null);
   // If it becomes the term holder it has nothing to write.
   t.is(record.advance(60), null);
 });
--- a/src/core/exchange/state_publisher.ts
+++ b/src/core/exchange/state_publisher.ts
@@ -305,7 +305,7 @@
     return {
       ...this.clusterState.senderState(this.#published),
       vms: this.vmCount(now),
-      fittest: this.campaign.fittest(now),
+      fittest: this.campaign.highestFitness(now),
       storeSilence: Math.max(0, this.store.silence(now)),
     };
   }
--- a/src/core/fleet/fleet.ts
+++ b/src/core/fleet/fleet.ts
@@ -95,7 +95,7 @@
   }
 
   /** Records that the registry is available again after an outage. */
-  recovered(now: number): void {
+  registryRecovered(now: number): void {
     this.#registryRecoveredAt = now;
   }
 
--- a/src/core/keyspace/candidacy.ts
+++ b/src/core/keyspace/candidacy.ts
@@ -92,7 +92,7 @@
   }
 
   /** Returns the fitness of the fittest known VM, including this one. */
-  fittest(now: number): number {
+  highestFitness(now: number): number {
     return Math.max(this.fitness, this.#knownFittest(now));
   }
 
--- a/src/core/keyspace/candidacy_test.ts
+++ b/src/core/keyspace/candidacy_test.ts
@@ -32,5 +32,5 @@
     t.true(candidacy.isCandidate(now, true));
   }
   t.false(candidacy.isCandidate(1_500, true));
-  t.is(candidacy.fittest(1_500), LARGE);
+  t.is(candidacy.highestFitness(1_500), LARGE);
 });
--- a/src/core/keyspace/term_campaign.ts
+++ b/src/core/keyspace/term_campaign.ts
@@ -169,8 +169,8 @@
   }
 
   /** Returns the fitness of the fittest known VM, including this one. */
-  fittest(now: number): number {
-    return this.candidacy.fittest(now);
+  highestFitness(now: number): number {
+    return this.candidacy.highestFitness(now);
   }
 
   /** Records the fitness of another VM that is known to run. */
@@ -273,7 +273,7 @@
     // VMs read the announced fitness when they start, and do not become
     // candidates if theirs is clearly lower. The fittest known VM may be
     // another one than this term holder.
-    const fitness = this.fittest(now);
+    const fitness = this.highestFitness(now);
     return [{ kind: "holder.announce", term, formerTerm, fitness }];
   }
 
--- a/src/core/quarantine/crash_record.ts
+++ b/src/core/quarantine/crash_record.ts
@@ -217,7 +217,7 @@
 }
 
 /** A quarantined request. */
-export interface Hold {
+export interface QuarantinedRequest {
   request: string;
   target: string;
   /** Server processes that crashed while they ran it. */
@@ -237,7 +237,10 @@
 }
 
 /** Describes a quarantined request. */
-export function holdOf(crashes: RequestCrashes, now: number): Hold {
+export function toQuarantinedRequest(
+  crashes: RequestCrashes,
+  now: number,
+): QuarantinedRequest {
   const { request, target, runs } = crashes;
   return { request, target, runs, left: quarantinedUntil(crashes) - now };
 }
--- a/src/core/quarantine/permit_issuer.ts
+++ b/src/core/quarantine/permit_issuer.ts
@@ -10,7 +10,7 @@
  *
  * @module
  */
-import { MAXIMUM_PERMIT, type PermitAnswer } from "./run_permits.ts";
+import { MAXIMUM_PERMIT_DURATION, type PermitAnswer } from "./run_permits.ts";
 
 /**
  * Number of consecutive crashes of a request with permits after which no
@@ -49,7 +49,7 @@
   /** Activates the issuer when this VM is announced as term holder. */
   activate(now: number): void {
     this.#issued.clear();
-    this.#activeFrom = now + MAXIMUM_PERMIT;
+    this.#activeFrom = now + MAXIMUM_PERMIT_DURATION;
   }
 
   /** Deactivates the issuer when another VM is announced as term holder. */
@@ -70,7 +70,10 @@
   ): PermitAnswer {
     const activeIn = this.#activeFrom - now;
     if (activeIn > 0) {
-      return { isGranted: false, left: Math.min(activeIn, MAXIMUM_PERMIT) };
+      return {
+        isGranted: false,
+        left: Math.min(activeIn, MAXIMUM_PERMIT_DURATION),
+      };
     }
     const issued = this.#issued.get(request);
     if (issued !== undefined && now < issued.until) {
@@ -78,9 +81,9 @@
     }
     if (this.#issued.size >= MAXIMUM_PERMITS) this.#removeExpired(now);
     if (this.#issued.size >= MAXIMUM_PERMITS) {
-      return { isGranted: false, left: MAXIMUM_PERMIT };
+      return { isGranted: false, left: MAXIMUM_PERMIT_DURATION };
     }
-    const left = Math.min(duration, MAXIMUM_PERMIT);
+    const left = Math.min(duration, MAXIMUM_PERMIT_DURATION);
     const crashes = issued?.crashes ?? 0;
     this.#issued.set(request, { address, until: now + left, crashes });
     return { isGranted: true, left };
--- a/src/core/quarantine/quarantine.ts
+++ b/src/core/quarantine/quarantine.ts
@@ -26,16 +26,16 @@
   expiresAt,
   hasReachedLimit,
   hasSameNames,
-  type Hold,
-  holdOf,
   isEvictedBefore,
   isNearLimit,
   isRecentlyAnswered,
   isReplicated,
   MAXIMUM_PROCESSES,
   quarantinedFrom,
+  type QuarantinedRequest,
   quarantinedUntil,
   type RequestCrashes,
+  toQuarantinedRequest,
   toRecord,
   union,
 } from "./crash_record.ts";
@@ -160,11 +160,14 @@
    * Describes the quarantine of a request; null if the request is not
    * quarantined.
    */
-  hold(fingerprint: Fingerprint, now: number): Hold | null {
+  quarantinedRequest(
+    fingerprint: Fingerprint,
+    now: number,
+  ): QuarantinedRequest | null {
     const crashes = this.#find(fingerprint);
     if (crashes === undefined || !hasReachedLimit(crashes)) return null;
     this.#advance(crashes, now);
-    return crashes.isHeld ? holdOf(crashes, now) : null;
+    return crashes.isHeld ? toQuarantinedRequest(crashes, now) : null;
   }
 
   /**
@@ -182,9 +185,9 @@
   }
 
   /** All quarantined requests. */
-  holds(now: number): Hold[] {
+  quarantinedRequests(now: number): QuarantinedRequest[] {
     return [...this.#records.values()].filter((each) => each.isHeld)
-      .map((crashes) => holdOf(crashes, now));
+      .map((crashes) => toQuarantinedRequest(crashes, now));
   }
 
   /**
@@ -206,7 +209,7 @@
   }
 
   /** Number of quarantined requests. */
-  get holdCount(): number {
+  get quarantinedCount(): number {
     let count = 0;
     for (const { isHeld } of this.#records.values()) if (isHeld) count += 1;
     return count;
--- a/src/core/quarantine/quarantine_test.ts
+++ b/src/core/quarantine/quarantine_test.ts
@@ -24,7 +24,7 @@
 }
 
 function isHeld(quarantine: Quarantine, now: number): boolean {
-  return quarantine.hold(HARMFUL, now) !== null;
+  return quarantine.quarantinedRequest(HARMFUL, now) !== null;
 }
 
 test("quarantine: a request is quarantined after the third crash, not before", (t) => {
@@ -62,7 +62,7 @@
   quarantine.advance(DELAY);
   t.is(quarantine.crashCount(HARMLESS), 0);
   quarantine.recordCrash(HARMLESS.complete, "h/harmless", "s-3#1", DELAY);
-  t.is(quarantine.hold(HARMLESS, 3 * DELAY), null);
+  t.is(quarantine.quarantinedRequest(HARMLESS, 3 * DELAY), null);
 });
 
 test("quarantine: a request is released for a trial; one crash quarantines it for longer", (t) => {
@@ -107,8 +107,11 @@
   for (let i = 0; i < 3; i++) {
     quarantine.recordCrash(sent.complete, "h/same", `s-${i}#1`, 0);
   }
-  t.not(quarantine.hold(sent, DELAY), null);
-  t.is(quarantine.hold(fingerprintOf("/same", "other body"), DELAY), null);
+  t.not(quarantine.quarantinedRequest(sent, DELAY), null);
+  t.is(
+    quarantine.quarantinedRequest(fingerprintOf("/same", "other body"), DELAY),
+    null,
+  );
 });
 
 /** Random sequences of events at three VMs: crashes, responses and messages. */
--- a/src/core/quarantine/run_permits.ts
+++ b/src/core/quarantine/run_permits.ts
@@ -19,7 +19,7 @@
  * Maximum validity of a permit, in milliseconds. A copy that a server runs for
  * longer may still be running when the next copy gets a permit.
  */
-export const MAXIMUM_PERMIT = 2_000;
+export const MAXIMUM_PERMIT_DURATION = 2_000;
 /** Timeout of a permit request, in milliseconds. */
 const ANSWER_TIMEOUT = 250;
 /**
@@ -191,7 +191,7 @@
     }
     const until = now + ANSWER_TIMEOUT;
     this.#permits.set(request, { copy, state: "asked", until });
-    const permitted = Math.min(duration, MAXIMUM_PERMIT);
+    const permitted = Math.min(duration, MAXIMUM_PERMIT_DURATION);
     const answer = this.channel.requestPermit(request, permitted, now);
     if (answer === null) return { kind: "asked", until };
     this.applyAnswer(request, answer, now);
--- a/src/core/quarantine/run_permits_test.ts
+++ b/src/core/quarantine/run_permits_test.ts
@@ -1,11 +1,11 @@
 import test from "ava";
 import fc from "fast-check";
 import { PermitIssuer } from "./permit_issuer.ts";
-import { MAXIMUM_PERMIT, RunPermits } from "./run_permits.ts";
+import { MAXIMUM_PERMIT_DURATION, RunPermits } from "./run_permits.ts";
 
 const REQUEST = "fingerprint";
 /** When an issuer that is activated at 0 can issue its first permit. */
-const ACTIVE_AT = MAXIMUM_PERMIT;
+const ACTIVE_AT = MAXIMUM_PERMIT_DURATION;
 
 function activeIssuer(): PermitIssuer {
   const issuer = PermitIssuer.create();
--- a/src/core/rates/rate_share.ts
+++ b/src/core/rates/rate_share.ts
@@ -46,7 +46,7 @@
   }
 
   /** Discards the state of a server that no longer has a limit. */
-  forget(server: string): void {
+  remove(server: string): void {
     this.#nextAt.delete(server);
   }
 
--- a/src/core/registry/registry_replica.ts
+++ b/src/core/registry/registry_replica.ts
@@ -161,7 +161,7 @@
    * the changes since the replica's position, so that the next read has to be
    * complete.
    */
-  failed(isExpired: boolean, now: number): void {
+  readFailed(isExpired: boolean, now: number): void {
     this.#isReading = false;
     this.#retryAt = now + RETRY_PAUSE;
     if (isExpired) this.#position = null;
--- a/src/core/registry/registry_replica_test.ts
+++ b/src/core/registry/registry_replica_test.ts
@@ -103,10 +103,10 @@
   replica.applyUpdate(reader.updateSince(10, 800)!);
   t.is(replica.fetch(1_999, 1_200), null);
   t.deepEqual(replica.fetch(2_000, 1_200), { kind: "servers.fetch", from: 10 });
-  replica.failed(false, 2_010);
+  replica.readFailed(false, 2_010);
   t.is(replica.dueAt(1_200), 2_260);
   t.is(replica.fetch(2_260, 1_200)?.from, 10);
-  replica.failed(true, 2_300);
+  replica.readFailed(true, 2_300);
   t.is(replica.fetch(2_550, 1_200)?.from, null);
 });
 
--- a/src/runtime/caller_server.ts
+++ b/src/runtime/caller_server.ts
@@ -13,7 +13,7 @@
 import type { Socket } from "node:net";
 import type { Duplex } from "node:stream";
 import type { CallerLimits } from "../core/catalog/index.ts";
-import type { Refusal } from "../core/dispatch/index.ts";
+import type { ErrorResponse } from "../core/dispatch/index.ts";
 import { Fingerprint } from "../core/quarantine/index.ts";
 import { CallerConnection } from "./caller_connection.ts";
 import type { BackendResponse, OutgoingRequest } from "./backend_pool.ts";
@@ -247,7 +247,7 @@
   }
 
   /** Sends a response that plumloft itself produces. */
-  refuse({ exchange, status, retryAfter, reason }: Refusal): void {
+  refuse({ exchange, status, retryAfter, reason }: ErrorResponse): void {
     const headers = ["Content-Type", "text/plain"];
     if (retryAfter !== null) {
       headers.push(
--- a/src/runtime/control_store.ts
+++ b/src/runtime/control_store.ts
@@ -40,7 +40,7 @@
 
 /** Result of a read of a feed. */
 export interface StoreRead extends DecodedRead {
-  occurrences: UntimedEvent[];
+  events: UntimedEvent[];
   /** Position of the next read. */
   next: number;
 }
--- a/src/runtime/effect_runner.ts
+++ b/src/runtime/effect_runner.ts
@@ -7,8 +7,8 @@
 import type {
   AttemptStart,
   Delivery,
+  ErrorResponse,
   LogLine,
-  Refusal,
 } from "../core/dispatch/index.ts";
 import type {
   GrantOrder,
@@ -147,7 +147,7 @@
     if (answer !== null) this.adapters.callers.deliver(effect.exchange, answer);
   }
 
-  #refuseRequest(effect: Refusal): void {
+  #refuseRequest(effect: ErrorResponse): void {
     this.adapters.metrics.count("refusals_total", `reason="${effect.reason}"`);
     this.adapters.callers.refuse(effect);
   }
--- a/src/runtime/entry_process.ts
+++ b/src/runtime/entry_process.ts
@@ -200,7 +200,7 @@
   }
 
   /** Logs that the settings were reloaded. */
-  logReload(isChanged: boolean): void {
+  logSettingsRead(isChanged: boolean): void {
     this.#logger.write("info", "settings.reloaded", { isChanged });
   }
 
@@ -300,8 +300,8 @@
     caller_answers_unsent: callers.unsent,
     caller_requests_not_taken_total: callers.notTaken,
     caller_requests_late_total: callers.late,
-    vms: entry.vms ?? 0,
-    requests_quarantined: entry.clusterState.quarantine.holdCount,
+    vms: entry.vmCount ?? 0,
+    requests_quarantined: entry.clusterState.quarantine.quarantinedCount,
     is_term_holder: entry.campaign.holder === null ? 0 : 1,
     log_lines_dropped: logger.dropped,
     processor_seconds: (user + system) / 1e6,
--- a/src/runtime/feed_follower.ts
+++ b/src/runtime/feed_follower.ts
@@ -182,6 +182,6 @@
   #applyRead(read: StoreRead, sentAt: number): void {
     this.sink.push({ kind: "store.answered", sentAt });
     this.faultLog.update(read);
-    for (const event of read.occurrences) this.sink.push(event);
+    for (const event of read.events) this.sink.push(event);
   }
 }
--- a/src/runtime/feed_follower_test.ts
+++ b/src/runtime/feed_follower_test.ts
@@ -16,7 +16,7 @@
 function startFollower(results: readonly ("update" | "failure")[]) {
   const timeouts: number[] = [];
   const read: StoreRead = {
-    occurrences: [],
+    events: [],
     faults: [],
     sound: [],
     isWhole: false,
--- a/test/ownership/request_load.ts
+++ b/test/ownership/request_load.ts
@@ -7,7 +7,7 @@
 import type {
   AttemptOutcome,
   AttemptStart,
-  Refusal,
+  ErrorResponse,
   RequestArrival,
 } from "../../src/core/dispatch/index.ts";
 import type { Configuration } from "../../src/core/catalog/index.ts";
@@ -332,7 +332,7 @@
   }
 
   /** Delivers a VM's own response to the caller, which may retry. */
-  refuse({ exchange, status, retryAfter }: Refusal): void {
+  refuse({ exchange, status, retryAfter }: ErrorResponse): void {
     const { caller, startedAt } = this.#takeExchange(exchange);
     const counts = this.#countsOf(caller);
     const isQuarantined = status === 429;
--- a/test/platform_test.ts
+++ b/test/platform_test.ts
@@ -152,7 +152,7 @@
   const topic = "keyed.op";
   const { store, client } = await startStoreWith(t, topic, []);
   const zones = (read: Awaited<ReturnType<typeof store.readAll>>) =>
-    read.occurrences.flatMap((each) =>
+    read.events.flatMap((each) =>
       each.kind === "evacuations.read" ? [each.read] : []
     );
   await store.evacuate("north", true);
@@ -567,7 +567,7 @@
             await store.readAll(feed),
           ]
         ) {
-          const kinds = read.occurrences.map(({ kind }) => kind);
+          const kinds = read.events.map(({ kind }) => kind);
           const holderReads = kinds.filter((kind) =>
             kind === "holder.read"
           ).length;
@@ -577,7 +577,7 @@
           t.is(zones.length, feed === "configuration" ? 1 : 0);
           const others = kinds.length - holderReads - zones.length;
           if (!isFeedKey) t.is(others, 1);
-          for (const each of read.occurrences) {
+          for (const each of read.events) {
             if (each.kind !== "holder.announced") continue;
             t.regex(each.holder.address, /^[\w.-]+:[1-9]\d*$/);
             t.true(each.holder.term <= 2 ** 48);
