--- a/src/core/cluster_state.ts
+++ b/src/core/cluster_state.ts
@@ -162,7 +162,7 @@
    * during the outage get time to register again.
    */
   storeRegained(now: number): void {
-    this.fleet.registryRecovered(now);
+    this.fleet.recovered(now);
     this.logDecision("store.regained", {});
   }
 
--- a/src/core/dispatch/dispatch_context.ts
+++ b/src/core/dispatch/dispatch_context.ts
@@ -23,7 +23,7 @@
   directory: KeyDirectory;
   keyLimits: KeyLimits;
   quarantine: Quarantine;
-  crashDetector: CrashDetector;
+  detector: CrashDetector;
   permits: RunPermits;
   coldAdmission: ColdAdmission;
   tokens: RateTokens;
--- a/src/core/dispatch/dispatcher_test.ts
+++ b/src/core/dispatch/dispatcher_test.ts
@@ -89,7 +89,7 @@
   assign(1, true);
   const keyLimits = KeyLimits.create();
   const quarantine = Quarantine.create();
-  const crashDetector = CrashDetector.create(quarantine, () => {});
+  const detector = CrashDetector.create(quarantine, () => {});
   const permits = RunPermits.create({
     requestPermit: () => permitAnswer(),
     release: () => {},
@@ -105,7 +105,7 @@
     directory,
     keyLimits,
     quarantine,
-    crashDetector,
+    detector,
     permits,
     coldAdmission: ColdAdmission.create(catalog, () => vmCount, draw),
     tokens,
@@ -597,7 +597,7 @@
     directory: KeyDirectory.create(),
     keyLimits: KeyLimits.create(),
     quarantine,
-    crashDetector: CrashDetector.create(quarantine, () => {}),
+    detector: CrashDetector.create(quarantine, () => {}),
     permits: RunPermits.create({
       requestPermit: () => null,
       release: () => {},
--- a/src/core/dispatch/outcome_review.ts
+++ b/src/core/dispatch/outcome_review.ts
@@ -176,7 +176,7 @@
     attempt: Attempt,
     now: number,
   ): void {
-    const { fleet, crashDetector } = this.context;
+    const { fleet, detector } = this.context;
     const server = fleet.get(attempt.server);
     if (!server?.has(attempt.number)) return;
     const { id, host, fingerprint } = arrival;
@@ -185,7 +185,7 @@
       target: `${host}${arrival.target}`,
       fingerprint: fingerprint.complete,
     };
-    const probe = crashDetector.connectionBroke(server, request, now);
+    const probe = detector.connectionBroke(server, request, now);
     if (probe !== null) this.emit(probe);
   }
 
@@ -198,9 +198,7 @@
     attempt: Attempt,
     now: number,
   ): void {
-    if (server?.has(attempt.number)) {
-      this.context.crashDetector.exited(server, now);
-    }
+    if (server?.has(attempt.number)) this.context.detector.exited(server, now);
   }
 
   /**
--- a/src/core/entry.ts
+++ b/src/core/entry.ts
@@ -91,18 +91,18 @@
       directory,
       keyLimits,
       quarantine,
-      crashDetector,
+      detector: crashDetector,
       permits: this.peers.permitExchange.permits,
       tokens: this.peers.tokenExchange.tokens,
       coldAdmission: ColdAdmission.create(
         catalog,
-        () => this.vmCount,
+        () => this.vms,
         uniformFloat64(options.seed + 1),
       ),
       availabilityZone: options.availabilityZone,
       retryLimits: options.retryLimits,
       startedAt: () => this.#startedAt,
-      vmCount: () => this.vmCount,
+      vmCount: () => this.vms,
       keyRefused: () => this.peers.keyRefused(),
       rateLimitChanged: (change, now) =>
         this.peers.rateLimitChanged(change, now),
@@ -123,8 +123,8 @@
   }
 
   /** Estimated number of VMs, or null if it is not known yet. */
-  get vmCount(): number | null {
-    return this.peers.vmCount;
+  get vms(): number | null {
+    return this.peers.vms;
   }
 
   /** Time since the last answered call to the store was sent, in milliseconds. */
--- a/src/core/entry_status.ts
+++ b/src/core/entry_status.ts
@@ -73,7 +73,7 @@
     },
     isReady: entry.isReady,
     pending: entry.dispatcher.pending,
-    vms: entry.vmCount,
+    vms: entry.vms,
     storeSilence: Math.round(entry.storeSilence(now)),
     term: {
       phase: entry.campaign.phase,
--- a/src/core/exchange/peer_exchange.ts
+++ b/src/core/exchange/peer_exchange.ts
@@ -78,7 +78,7 @@
       clusterState,
       emit,
       ownAddress,
-      () => this.vmCount,
+      () => this.vms,
       draw,
     );
     this.#stateExchange = StateExchange.create(
@@ -123,7 +123,7 @@
   }
 
   /** Estimated number of VMs, or null if it is not known yet. */
-  get vmCount(): number | null {
+  get vms(): number | null {
     return this.#vmCount.value;
   }
 
@@ -184,7 +184,7 @@
     this.permitExchange.follow(address, now);
     this.tokenExchange.follow(address, now);
     const chance = this.draw();
-    this.followerLink.follow(isOwn ? null : address, this.vmCount, chance, now);
+    this.followerLink.follow(isOwn ? null : address, this.vms, chance, now);
     this.campaign.observeFitness(fitness, now);
   }
 
@@ -343,13 +343,11 @@
   #shareQuarantine(now: number): void {
     const updates = this.#quarantine.advance(
       this.#holderSilence(now),
-      this.vmCount,
+      this.vms,
       now,
     );
     for (const each of updates) this.#sendQuarantine(each);
-    if (this.#quarantine.isUrgent(this.vmCount, now)) {
-      this.followerLink.expedite();
-    }
+    if (this.#quarantine.isUrgent(this.vms, now)) this.followerLink.expedite();
   }
 
   /**
@@ -405,9 +403,7 @@
     if (changes === null) return;
     // The store may be reachable again before this VM has detected it. Servers
     // whose entries expired during the outage get time to register again.
-    if (this.store.isLost && changes.removed.length > 0) {
-      fleet.registryRecovered(now);
-    }
+    if (this.store.isLost && changes.removed.length > 0) fleet.recovered(now);
     this.clusterState.applyServerChanges(
       fleet.apply(changes.entries, changes.removed, now, changes.unreadable),
       now,
--- a/src/core/fleet/fleet.ts
+++ b/src/core/fleet/fleet.ts
@@ -95,7 +95,7 @@
   }
 
   /** Records that the registry is available again after an outage. */
-  registryRecovered(now: number): void {
+  recovered(now: number): void {
     this.#registryRecoveredAt = now;
   }
 
--- a/src/core/fleet/fleet_test.ts
+++ b/src/core/fleet/fleet_test.ts
@@ -156,7 +156,7 @@
 test("fleet: keeps expired entries for two seconds after an outage of the registry", (t) => {
   const fleet = Fleet.create();
   fleet.apply([entry("a"), entry("b")], [], 0);
-  fleet.registryRecovered(10_000);
+  fleet.recovered(10_000);
   t.deepEqual(fleet.apply([], ["a", "b"], 10_050), []);
   fleet.apply([entry("a")], [], 11_000);
   t.deepEqual(fleet.expire(11_900), []);
--- a/src/runtime/entry_process.ts
+++ b/src/runtime/entry_process.ts
@@ -300,7 +300,7 @@
     caller_answers_unsent: callers.unsent,
     caller_requests_not_taken_total: callers.notTaken,
     caller_requests_late_total: callers.late,
-    vms: entry.vmCount ?? 0,
+    vms: entry.vms ?? 0,
     requests_quarantined: entry.clusterState.quarantine.quarantinedCount,
     is_term_holder: entry.campaign.holder === null ? 0 : 1,
     log_lines_dropped: logger.dropped,
