--- a/src/cli/serve_command.ts
+++ b/src/cli/serve_command.ts
@@ -60,7 +60,10 @@
   // `on` rather than `once`: a second SIGTERM would kill the process.
   process.on("SIGTERM", whenStarted((entry) => entry.shutdown()));
   process.once("SIGINT", whenStarted((entry) => entry.shutdown()));
-  process.on("SIGHUP", whenStarted((entry) => reload(entry, file, settings)));
+  process.on(
+    "SIGHUP",
+    whenStarted((entry) => rereadSettings(entry, file, settings)),
+  );
   const entry = await starting;
   await entry.stopped;
 }
@@ -69,7 +72,7 @@
  * Reads the settings file again and logs whether the settings have changed or are
  * invalid. The process keeps the settings that it started with.
  */
-function reload(
+function rereadSettings(
   entry: EntryProcess,
   file: string,
   settings: EntrySettings,
--- a/src/core/dispatch/cold_admission_test.ts
+++ b/src/core/dispatch/cold_admission_test.ts
@@ -166,7 +166,7 @@
 
 test("cold admission: a cold server that may receive a request is preferred to equal warm ones", (t) => {
   const catalog = catalogWith({ duration: WARM_UP, requestsPerSecond: RATE });
-  const cold = ColdAdmission.create(catalog, () => 1, () => 0.5);
+  const admission = ColdAdmission.create(catalog, () => 1, () => 0.5);
   const fleet = fleetWith(WARM_UP, 0);
   const warm = ["a", "b", "c"].map((id) =>
     backendServer(id, { service: SERVICE, address: `${id}:1` })
@@ -177,7 +177,7 @@
       fleet,
       availabilityZone: fleet.get("s")!.entry.availabilityZone,
       vmCount: 1,
-      coldAdmission: cold,
+      coldAdmission: admission,
       tokens: RateTokens.create(
         { requestToken: () => null },
         () => 1,
@@ -190,6 +190,6 @@
   const firstSendAt = 0.5 * 1_000 / RATE;
   const chosen = choose(firstSendAt);
   t.is(chosen.id, "s");
-  cold.requestSent(chosen, firstSendAt);
+  admission.requestSent(chosen, firstSendAt);
   t.not(choose(firstSendAt + 1).id, "s");
 });
--- a/src/core/entry.ts
+++ b/src/core/entry.ts
@@ -303,8 +303,8 @@
   }
 
   /**
-   * Advances the election and the term, and writes the quarantine record if this VM
-   * holds the term.
+   * Advances the election and the term. If this VM is the term holder, also writes the
+   * crash records of quarantined requests to the store when that is due.
    */
   #advanceCampaign(
     services: readonly string[],
--- a/src/core/entry_event.ts
+++ b/src/core/entry_event.ts
@@ -45,9 +45,9 @@
   | { kind: "assignments.read"; assignments: Assignment[] }
   /** A term holder's announcement of itself was received. */
   | { kind: "holder.announced"; holder: HolderAddress }
-  /** The quarantine record was read from the store. */
+  /** The crash records of quarantined requests were read from the store. */
   | { kind: "quarantine.read"; records: CrashRecord[] }
-  /** A write of the quarantine record has ended; `isDone` if it succeeded. */
+  /** A write of these crash records has ended; `isDone` if it succeeded. */
   | { kind: "quarantine.written"; isDone: boolean }
   /** The store was read for the last term holder, whether or not there was one. */
   | { kind: "holder.read" }
--- a/src/core/exchange/peer_exchange.ts
+++ b/src/core/exchange/peer_exchange.ts
@@ -413,12 +413,12 @@
 
   #applyHolderState(
     address: string,
-    { vms, fittest }: HolderState,
+    { vms, fittest: highestFitness }: HolderState,
     now: number,
   ): void {
     if (address === this.followerLink.holder) this.followerLink.received(now);
     this.#vmCount.observe(vms, now);
-    this.campaign.observeFitness(fittest, now);
+    this.campaign.observeFitness(highestFitness, now);
   }
 
   #handleAnswer(
--- a/src/core/exchange/quarantine_storage.ts
+++ b/src/core/exchange/quarantine_storage.ts
@@ -35,7 +35,7 @@
 
   private constructor(private readonly quarantine: Quarantine) {}
 
-  /** Creates a record of `quarantine` that has not read the store. */
+  /** Creates the storage of `quarantine`; nothing has been read yet. */
   static create(quarantine: Quarantine): QuarantineStorage {
     return new QuarantineStorage(quarantine);
   }
--- a/src/core/keyspace/candidacy.ts
+++ b/src/core/keyspace/candidacy.ts
@@ -64,10 +64,8 @@
 
 /** Candidacy of one VM. All times are milliseconds of this VM's clock. */
 export class Candidacy {
-  /**
-   * Fitness of the fittest VM among the clearly fitter ones that were observed.
-   */
-  #fittest = 0;
+  /** Highest fitness among the clearly fitter VMs that were observed. */
+  #observedFitness = 0;
   /** When a clearly fitter VM was last observed. */
   #lastSeenAt = -Infinity;
   /**
@@ -87,13 +85,13 @@
   observe(fitness: number, now: number): void {
     if (!this.#isClearlyFitter(fitness)) return;
     if (now - this.#lastSeenAt > FITTER_VM_TIMEOUT) this.#fitterSince = now;
-    this.#fittest = Math.max(fitness, this.#knownFittest(now));
+    this.#observedFitness = Math.max(fitness, this.#knownFitness(now));
     this.#lastSeenAt = now;
   }
 
-  /** Returns the fitness of the fittest known VM, including this one. */
+  /** Returns the highest fitness among the known VMs, including this one. */
   highestFitness(now: number): number {
-    return Math.max(this.fitness, this.#knownFittest(now));
+    return Math.max(this.fitness, this.#knownFitness(now));
   }
 
   /**
@@ -101,12 +99,15 @@
    * for {@linkcode HANDOVER_DELAY} after it has learned of a fitter VM.
    */
   isCandidate(now: number, isHolder: boolean): boolean {
-    if (this.#knownFittest(now) === 0) return true;
+    if (this.#knownFitness(now) === 0) return true;
     return isHolder && now - this.#fitterSince < HANDOVER_DELAY;
   }
 
-  #knownFittest(now: number): number {
-    return now - this.#lastSeenAt > FITTER_VM_TIMEOUT ? 0 : this.#fittest;
+  /** Highest fitness among the clearly fitter VMs known now, or 0. */
+  #knownFitness(now: number): number {
+    return now - this.#lastSeenAt > FITTER_VM_TIMEOUT
+      ? 0
+      : this.#observedFitness;
   }
 
   #isClearlyFitter(fitness: number): boolean {
--- a/src/core/keyspace/keyspace_effect.ts
+++ b/src/core/keyspace/keyspace_effect.ts
@@ -108,7 +108,7 @@
   term: number;
   /** The previous term. */
   formerTerm: number;
-  /** Fitness of the fittest VM that the term holder knows, including itself. */
+  /** Highest fitness among the VMs that the term holder knows, including itself. */
   fitness: number;
 }
 
--- a/src/core/keyspace/term_campaign.ts
+++ b/src/core/keyspace/term_campaign.ts
@@ -168,7 +168,7 @@
     return this.candidacy.fitness;
   }
 
-  /** Returns the fitness of the fittest known VM, including this one. */
+  /** Returns the highest fitness among the known VMs, including this one. */
   highestFitness(now: number): number {
     return this.candidacy.highestFitness(now);
   }
@@ -271,8 +271,8 @@
     this.#phase = { kind: "leading", holder };
     const formerTerm = records.term;
     // VMs read the announced fitness when they start, and do not become
-    // candidates if theirs is clearly lower. The fittest known VM may be
-    // another one than this term holder.
+    // candidates if theirs is clearly lower. The known VM with the highest
+    // fitness may be another one than this term holder.
     const fitness = this.highestFitness(now);
     return [{ kind: "holder.announce", term, formerTerm, fitness }];
   }
--- a/src/core/peers/peer_message.ts
+++ b/src/core/peers/peer_message.ts
@@ -71,7 +71,7 @@
   term: count,
   vm: z.string(),
   address: z.string(),
-  /** Fitness of the fittest VM that the holder knows of, including itself. */
+  /** Highest fitness among the VMs that the holder knows, including itself. */
   fitness: z.number().nonnegative(),
 });
 
@@ -87,7 +87,7 @@
    * Number of VMs from which the holder receives reports, plus one for itself.
    */
   vms: count,
-  /** Fitness of the fittest VM that the holder knows of, including itself. */
+  /** Highest fitness among the VMs that the holder knows, including itself. */
   fittest: z.number().nonnegative(),
   /**
    * Milliseconds since the holder sent its last store call that was answered,
--- a/src/core/quarantine/crash_record.ts
+++ b/src/core/quarantine/crash_record.ts
@@ -216,7 +216,7 @@
   };
 }
 
-/** A quarantined request. */
+/** Description of a quarantined request, for its refusal and for operators. */
 export interface QuarantinedRequest {
   request: string;
   target: string;
@@ -236,7 +236,7 @@
   return a.lastCrashAt < b.lastCrashAt;
 }
 
-/** Describes a quarantined request. */
+/** Converts the record of a quarantined request to its description. */
 export function toQuarantinedRequest(
   crashes: RequestCrashes,
   now: number,
--- a/src/core/quarantine/quarantine.ts
+++ b/src/core/quarantine/quarantine.ts
@@ -12,7 +12,7 @@
  *
  * ```ts
  * quarantine.recordCrash(fingerprint.complete, "h/path", "server-1#0", now);
- * if (quarantine.hold(fingerprint, now) !== null) refuse();
+ * if (quarantine.quarantinedRequest(fingerprint, now) !== null) refuse();
  * quarantine.clear(fingerprint, now); // a server answered the request
  * ```
  *
@@ -157,8 +157,8 @@
   }
 
   /**
-   * Describes the quarantine of a request; null if the request is not
-   * quarantined.
+   * Returns the quarantined request with a fingerprint; null if the request is
+   * not quarantined.
    */
   quarantinedRequest(
     fingerprint: Fingerprint,
--- a/src/core/quarantine/quarantine_test.ts
+++ b/src/core/quarantine/quarantine_test.ts
@@ -23,21 +23,21 @@
   return quarantine;
 }
 
-function isHeld(quarantine: Quarantine, now: number): boolean {
+function isQuarantined(quarantine: Quarantine, now: number): boolean {
   return quarantine.quarantinedRequest(HARMFUL, now) !== null;
 }
 
 test("quarantine: a request is quarantined after the third crash, not before", (t) => {
-  t.false(isHeld(quarantineAfter(2), DELAY));
-  t.true(isHeld(quarantineAfter(3), DELAY));
+  t.false(isQuarantined(quarantineAfter(2), DELAY));
+  t.true(isQuarantined(quarantineAfter(3), DELAY));
 });
 
 test("quarantine: the crash of a server process counts once, however many VMs observe it", (t) => {
   const quarantine = quarantineAfter(2);
   t.false(quarantine.recordCrash(HARMFUL.complete, "h/harmful", "s-1#1", 10));
-  t.false(isHeld(quarantine, DELAY));
+  t.false(isQuarantined(quarantine, DELAY));
   t.true(quarantine.recordCrash(HARMFUL.complete, "h/harmful", "s-1#2", 10));
-  t.true(isHeld(quarantine, DELAY));
+  t.true(isQuarantined(quarantine, DELAY));
 });
 
 test("quarantine: a response clears a request, also one that another VM received", (t) => {
@@ -46,11 +46,11 @@
   other.merge(quarantine.replicatedRecords(10), 10);
   other.clear(HARMFUL, 20);
   quarantine.merge(other.replicatedRecords(30), 30);
-  t.false(isHeld(quarantine, DELAY));
+  t.false(isQuarantined(quarantine, DELAY));
   t.is(quarantine.digest, other.digest);
   // Delayed records of the same crashes from the other VM do not count again.
   quarantine.merge(quarantineAfter(3).replicatedRecords(40), 40);
-  t.false(isHeld(quarantine, 40 + DELAY));
+  t.false(isQuarantined(quarantine, 40 + DELAY));
 });
 
 test("quarantine: the crashes of a quarantined request do not count against others", (t) => {
@@ -67,18 +67,18 @@
 
 test("quarantine: a request is released for a trial; one crash quarantines it for longer", (t) => {
   const quarantine = quarantineAfter(3);
-  t.true(isHeld(quarantine, 2 * MINUTE - 1));
-  t.false(isHeld(quarantine, 2 * MINUTE));
+  t.true(isQuarantined(quarantine, 2 * MINUTE - 1));
+  t.false(isQuarantined(quarantine, 2 * MINUTE));
   const at = 2 * MINUTE + 10;
   quarantine.recordCrash(HARMFUL.complete, "h/harmful", "s-9#1", at);
-  t.true(isHeld(quarantine, at + DELAY));
-  t.true(isHeld(quarantine, at + 4 * MINUTE - 1));
-  t.false(isHeld(quarantine, at + 4 * MINUTE));
+  t.true(isQuarantined(quarantine, at + DELAY));
+  t.true(isQuarantined(quarantine, at + 4 * MINUTE - 1));
+  t.false(isQuarantined(quarantine, at + 4 * MINUTE));
 });
 
 test("quarantine: the record of a request expires after a trial without crashes", (t) => {
   const quarantine = quarantineAfter(3);
-  t.false(isHeld(quarantine, 2 * MINUTE));
+  t.false(isQuarantined(quarantine, 2 * MINUTE));
   quarantine.advance(HOUR);
   t.deepEqual(quarantine.replicatedRecords(HOUR), []);
   t.is(quarantine.digest, 0);
@@ -87,8 +87,8 @@
 test("quarantine: it ends at the same time on a VM that receives the record late", (t) => {
   const late = Quarantine.create();
   late.merge(quarantineAfter(3).replicatedRecords(MINUTE), 5_000);
-  t.true(isHeld(late, 5_000 + MINUTE - 1));
-  t.false(isHeld(late, 5_000 + MINUTE));
+  t.true(isQuarantined(late, 5_000 + MINUTE - 1));
+  t.false(isQuarantined(late, 5_000 + MINUTE));
 });
 
 test("quarantine: the number of records is bounded, and quarantined requests are kept", (t) => {
@@ -97,7 +97,7 @@
   for (let i = 0; i < 10_000; i++) {
     quarantine.recordCrash(`request-${i}`, "h/x", "s-7#1", DELAY + i);
   }
-  t.true(isHeld(quarantine, 20_000));
+  t.true(isQuarantined(quarantine, 20_000));
   t.true(quarantine.changesSince(0, 20_000).length <= 256);
 });
 
@@ -151,7 +151,7 @@
       }
     }
     t.is(new Set(vms.map(({ digest }) => digest)).size, 1);
-    t.is(new Set(vms.map((vm) => isHeld(vm, 2_000))).size, 1);
+    t.is(new Set(vms.map((vm) => isQuarantined(vm, 2_000))).size, 1);
   }));
 });
 
@@ -162,7 +162,7 @@
     quarantine.recordCrash(HARMFUL.complete, "h/harmful", run, 0);
   }
   quarantine.advance(DELAY);
-  t.true(isHeld(quarantine, DELAY));
+  t.true(isQuarantined(quarantine, DELAY));
 });
 
 test("quarantine: crashes do not count against a request that was answered recently", (t) => {
--- a/src/core/rates/rate_share.ts
+++ b/src/core/rates/rate_share.ts
@@ -45,7 +45,7 @@
     this.#nextAt.set(server, now + interval);
   }
 
-  /** Discards the state of a server that no longer has a limit. */
+  /** Removes the state of a server that no longer has a limit. */
   remove(server: string): void {
     this.#nextAt.delete(server);
   }
--- a/src/core/shutdown_pending_request_test.ts
+++ b/src/core/shutdown_pending_request_test.ts
@@ -93,8 +93,8 @@
   }
   const kinds = effects.map(({ kind }) => kind);
   t.true(kinds.includes("process.stop"));
-  const refused = kinds.indexOf("request.refuse");
-  t.true(refused >= 0 && refused < kinds.indexOf("process.stop"));
+  const errorIndex = kinds.indexOf("request.refuse");
+  t.true(errorIndex >= 0 && errorIndex < kinds.indexOf("process.stop"));
 });
 
 // Guards against lost responses with HTTP pipelining: the response to a request was
@@ -110,9 +110,9 @@
     effects.push(...step(now, { kind: "timer" }));
   }
   const kinds = effects.map(({ kind }) => kind);
-  const refused = kinds.indexOf("request.refuse");
-  t.true(refused >= 0 && refused < kinds.indexOf("process.stop"));
-  const refusal = effects[refused];
-  t.is(refusal.kind === "request.refuse" && refusal.status, 504);
+  const errorIndex = kinds.indexOf("request.refuse");
+  t.true(errorIndex >= 0 && errorIndex < kinds.indexOf("process.stop"));
+  const errorResponse = effects[errorIndex];
+  t.is(errorResponse.kind === "request.refuse" && errorResponse.status, 504);
   t.true(kinds.includes("attempt.cancel"));
 });
--- a/src/runtime/caller_server.ts
+++ b/src/runtime/caller_server.ts
@@ -246,7 +246,7 @@
     this.#respond(exchange, status, statusText, headers, body, false);
   }
 
-  /** Sends a response that plumloft itself produces. */
+  /** Sends an error response that plumloft generated. */
   refuse({ exchange, status, retryAfter, reason }: ErrorResponse): void {
     const headers = ["Content-Type", "text/plain"];
     if (retryAfter !== null) {
--- a/src/runtime/effect_runner.ts
+++ b/src/runtime/effect_runner.ts
@@ -83,7 +83,7 @@
       case "request.deliver":
         return this.#deliverResponse(effect);
       case "request.refuse":
-        return this.#refuseRequest(effect);
+        return this.#sendErrorResponse(effect);
       case "note":
         return this.#log(effect);
       case "configuration.fetch":
@@ -147,7 +147,7 @@
     if (answer !== null) this.adapters.callers.deliver(effect.exchange, answer);
   }
 
-  #refuseRequest(effect: ErrorResponse): void {
+  #sendErrorResponse(effect: ErrorResponse): void {
     this.adapters.metrics.count("refusals_total", `reason="${effect.reason}"`);
     this.adapters.callers.refuse(effect);
   }
--- a/src/runtime/entry_process.ts
+++ b/src/runtime/entry_process.ts
@@ -199,12 +199,12 @@
     this.#loop.push({ kind: "shutdown", lateness: this.#loopLag.lateness });
   }
 
-  /** Logs that the settings were reloaded. */
+  /** Logs that the settings were read again, and whether they have changed. */
   logSettingsRead(isChanged: boolean): void {
     this.#logger.write("info", "settings.reloaded", { isChanged });
   }
 
-  /** Logs that the settings could not be reloaded. */
+  /** Logs that the settings could not be read again. */
   logReloadFailure(cause: string): void {
     this.#logger.write("warn", "settings.reload_failed", { cause });
   }
--- a/test/ownership/request_load.ts
+++ b/test/ownership/request_load.ts
@@ -331,7 +331,7 @@
     this.results.push({ ...caller, name, took });
   }
 
-  /** Delivers a VM's own response to the caller, which may retry. */
+  /** Delivers a VM's own error response to the caller, which may retry. */
   refuse({ exchange, status, retryAfter }: ErrorResponse): void {
     const { caller, startedAt } = this.#takeExchange(exchange);
     const counts = this.#countsOf(caller);
--- a/test/serve_signals_test.ts
+++ b/test/serve_signals_test.ts
@@ -1,7 +1,8 @@
 /**
  * Guards against signals that terminate a starting process. A signal without a listener
  * terminates the process at once and closes all connections that it has accepted.
- * SIGHUP must reload the settings, and SIGTERM must start a graceful shutdown.
+ * SIGHUP must make the process read the settings again, and SIGTERM must start a
+ * graceful shutdown.
  *
  * @module
  */
