--- a/src/core/peers/holder_link.ts
+++ b/src/core/peers/holder_link.ts
@@ -82,7 +82,7 @@
   /** Number of running VMs, including this one. */
   vmCount(now: number): number {
     for (const [address, reportedAt] of this.#reportedAt) {
-      if (now - reportedAt > FOLLOWER_TIMEOUT) this.#forget(address);
+      if (now - reportedAt > FOLLOWER_TIMEOUT) this.#removeFollower(address);
     }
     return this.#reportedAt.size + 1;
   }
@@ -101,7 +101,7 @@
     else this.#updateReceivers.delete(address);
   }
 
-  #forget(address: string): void {
+  #removeFollower(address: string): void {
     this.#reportedAt.delete(address);
     this.#updateReceivers.delete(address);
   }
