--- a/src/core/fleet/tracked_server.ts
+++ b/src/core/fleet/tracked_server.ts
@@ -62,8 +62,8 @@
   /** Mean latency, in milliseconds. */
   mean: number;
   /**
-   * Number of measured responses; 0 if the server queued all requests before
-   * running them.
+   * Number of measured responses; 0 if all responses were refusals or were sent
+   * while requests were queued.
    */
   count: number;
   /** The load that it reported with the last response, if any. */
--- a/src/core/keyspace/candidacy.ts
+++ b/src/core/keyspace/candidacy.ts
@@ -12,7 +12,7 @@
  * ```ts
  * const candidacy = Candidacy.create(fitness);
  * candidacy.observe(holderFitness, now);
- * if (candidacy.isCandidate(now, isHolder)) joinElectorate();
+ * if (candidacy.isCandidate(now, isElected)) joinElectorate();
  * ```
  *
  * @module
@@ -95,12 +95,13 @@
   }
 
   /**
-   * Whether this VM is a candidate. The term holder (`isHolder`) remains one
-   * for {@linkcode HANDOVER_DELAY} after it has learned of a fitter VM.
+   * Whether this VM is a candidate. An elected VM (`isElected`), such as the
+   * term holder, remains one for {@linkcode HANDOVER_DELAY} after it has
+   * learned of a fitter VM.
    */
-  isCandidate(now: number, isHolder: boolean): boolean {
+  isCandidate(now: number, isElected: boolean): boolean {
     if (this.#knownFitness(now) === 0) return true;
-    return isHolder && now - this.#fitterSince < HANDOVER_DELAY;
+    return isElected && now - this.#fitterSince < HANDOVER_DELAY;
   }
 
   /** Highest fitness among the clearly fitter VMs known now, or 0. */
--- a/src/core/keyspace/key_limits.ts
+++ b/src/core/keyspace/key_limits.ts
@@ -6,9 +6,9 @@
  * answer overloads it, wherever the other keys are placed. Each of many VMs
  * receives too few of these requests to detect this. In a cluster of 195 VMs,
  * one key received a fifth of 400 requests a second and all VMs sent them to
- * its server: 9 of 10 requests were reset because the server's queue was full,
- * each of them nearly twice on average. The others waited in the queue for
- * longer than their target latency.
+ * its server: 9 of 10 requests were reset because the server's queue was full.
+ * Each of these was reset nearly twice on average, as it was retried. The
+ * others waited in the queue for longer than their target latency.
  *
  * The term holder knows the demand of all VMs. It sends them the share of the
  * requests for such keys that can be admitted, and each VM refuses the others
--- a/src/core/keyspace/key_rebalancer.ts
+++ b/src/core/keyspace/key_rebalancer.ts
@@ -117,7 +117,7 @@
 
   /**
    * Returns the servers that may get keys, with their speeds, which a rate
-   * limit may reduce. Suspected, paused, cold and unresponsive servers are
+   * limit may reduce. Suspected, paused, warming and unresponsive servers are
    * included only if there are no others.
    */
   eligibleServers(
--- a/src/core/keyspace/keyspace_effect.ts
+++ b/src/core/keyspace/keyspace_effect.ts
@@ -77,7 +77,7 @@
   to: string;
 }
 
-/** Log entry: another server holds the keys now. */
+/** Log entry: closed keys are held again, usually by another server. */
 export interface MoveCompleted {
   kind: "keys.moved";
   service: string;
--- a/src/core/keyspace/lease_timing.ts
+++ b/src/core/keyspace/lease_timing.ts
@@ -8,7 +8,8 @@
  * shorten the lease.
  *
  * The term holder sends grants only while its authority lasts, counted from the
- * time at which it sent its last confirmed membership call. So if a new term
+ * time at which it sent its last confirmed membership call: the last call to
+ * the store whose answer stated that it is the elected VM. So if a new term
  * holder fences its predecessor at time T, the predecessor's last grant expires
  * before `T + authority + longest hold time`, plus the timeout of an order and
  * the allowances for clock drift and delivery.
@@ -27,10 +28,11 @@
   hold: z.number().int().positive().default(2_200),
   /**
    * Hold time of a grant while the store does not answer. No key can move
-   * during that time, so the lease only has to outlast the outage: this value
-   * outlasts outages of 9 s. A longer value would delay the reassignment of
-   * keys by as much, because a new term holder that cannot reach a server has
-   * to assume that the server holds its keys for the full time.
+   * during that time, so the lease only has to outlast the outage. Grants are
+   * renewed until `authority` ends, so this value outlasts outages of 9 s. A
+   * longer value would delay the reassignment of keys by as much, because a new
+   * term holder that cannot reach a server has to assume that the server holds
+   * its keys for the full time.
    */
   longHold: z.number().int().positive().default(7_000),
   /**
--- a/src/core/keyspace/range_servers.ts
+++ b/src/core/keyspace/range_servers.ts
@@ -27,8 +27,9 @@
 const EVACUATION_SPREAD_TIME = 2_000;
 /**
  * Multiplier of the hash that spreads the keys over this time. It is odd, so
- * that adjacent keys, which are often busy together, are released at different
- * times.
+ * that no two keys have the same hash, and close to `KEY_COUNT` divided by the
+ * golden ratio, so that adjacent keys, which are often busy together, are
+ * released at different times.
  */
 const HASH_MULTIPLIER = 40_503;
 
--- a/src/core/keyspace/term_campaign.ts
+++ b/src/core/keyspace/term_campaign.ts
@@ -7,6 +7,9 @@
  * accepts only if nothing has been written since the read. From then on the
  * store rejects writes of older terms.
  *
+ * Each VM calls the store regularly to stay in its group (membership calls). An
+ * answer stating that the VM is the elected member confirms the call.
+ *
  * The authority of the term holder to send orders ends a fixed time after it
  * sent its last confirmed membership call, measured by its own monotonic clock.
  *
@@ -137,10 +140,10 @@
   /** When the last confirmed membership call was sent. */
   #confirmedAt = -Infinity;
   /**
-   * When the oldest membership call was sent that has had no answer since, or
+   * When the first membership call since the last confirmed one was sent, or
    * null.
    */
-  #unansweredSince: number | null = null;
+  #unconfirmedSince: number | null = null;
   #joinDueAt = -Infinity;
   #isJoining = false;
   #isRetired = false;
@@ -204,7 +207,7 @@
     return this.#group === "observers";
   }
 
-  /** Current phase of the campaign, for operators. */
+  /** Current phase of the campaign, which is also shown to operators. */
   get phase(): Phase["kind"] {
     return this.#phase.kind;
   }
@@ -222,7 +225,7 @@
     }
     this.#authorityEnd = membership.sentAt + this.timing.authority;
     this.#confirmedAt = membership.sentAt;
-    this.#unansweredSince = null;
+    this.#unconfirmedSince = null;
     this.#settle(membership.generation, now);
   }
 
@@ -329,7 +332,7 @@
       this.holder?.isAwaitingStore;
     if (!this.#isJoining && !this.#isRetired && isJoinDue) {
       this.#isJoining = true;
-      this.#unansweredSince ??= now;
+      this.#unconfirmedSince ??= now;
       const group = this.#group;
       effects.push({ kind: "group.join", group, generation: this.#generation });
     }
@@ -400,7 +403,7 @@
    * long, so an unanswered call may have caused a new election.
    */
   #isUncontested(now: number): boolean {
-    const safeEnd = (this.#unansweredSince ?? now) + PENDING_JOIN_SAFE_TIME;
+    const safeEnd = (this.#unconfirmedSince ?? now) + PENDING_JOIN_SAFE_TIME;
     return now < this.#confirmedAt + CONFIRMED_JOIN_SAFE_TIME && now < safeEnd;
   }
 
--- a/src/core/keyspace/term_holder.ts
+++ b/src/core/keyspace/term_holder.ts
@@ -197,7 +197,7 @@
     );
   }
 
-  /** Returns the ranges of a service, for operators. */
+  /** Returns the ranges of a service; none if the service is unknown. */
   ranges(service: string): readonly TrackedRange[] {
     return this.#tables.get(service)?.ranges ?? [];
   }
--- a/src/core/keyspace/tracked_range.ts
+++ b/src/core/keyspace/tracked_range.ts
@@ -9,6 +9,10 @@
  *              +---> expiring <----+     (no answer: wait for the lease to end)
  * ```
  *
+ * A `held` range whose server is lost becomes `expiring` at once. An `expiring`
+ * range becomes `vacant` when the lease has ended, or `assigned` to the same
+ * server if that server has restarted or answers a probe.
+ *
  * A range in any state becomes `vacant` if another server refuses an order at
  * the address of the range's server and this proves that the process that held
  * the keys has ended. While the lease of an unresponsive server runs out, the
--- a/src/core/rates/rate_share.ts
+++ b/src/core/rates/rate_share.ts
@@ -32,8 +32,8 @@
    */
   maySend(server: string, interval: number, now: number): boolean {
     const known = this.#nextAt.get(server);
-    // A time more than an interval ago stems from an earlier rate limit of the
-    // server.
+    // A time more than an interval ago is outdated: this VM has not sent to the
+    // server for a while, or the rate limit has changed.
     if (known !== undefined && now < known + interval) return now >= known;
     if (this.#nextAt.size >= MAXIMUM_SERVERS) this.#evictOldest();
     this.#nextAt.set(server, now + this.draw() * interval);
--- a/src/core/rates/rate_tokens.ts
+++ b/src/core/rates/rate_tokens.ts
@@ -67,7 +67,10 @@
   | { kind: "ready" }
   /** A token request is pending; it times out at `until`. */
   | { kind: "asked"; until: number }
-  /** No token is available before `until`. */
+  /**
+   * The request may not be sent now. Before `until`, no token is requested
+   * unless a more urgent request needs one.
+   */
   | { kind: "denied"; until: number };
 
 type TokenState =
