--- a/src/core/dispatch/cold_admission.ts
+++ b/src/core/dispatch/cold_admission.ts
@@ -6,7 +6,7 @@
  * send, and a single request from each of 61 VMs at the same time is already
  * too many. So each VM sends at an equal share of the configured rate, and
  * delays its first request by a random part of the interval. A VM that learns
- * late of the server or of other VMs only sends less.
+ * late of the server, or does not know the number of VMs, only sends less.
  *
  * @module
  */
--- a/src/core/dispatch/dispatch_context.ts
+++ b/src/core/dispatch/dispatch_context.ts
@@ -35,8 +35,8 @@
   /** Number of VMs, or null when unknown. */
   vmCount(): number | null;
   /**
-   * Called when a server refused a key that is assigned to it in `directory`,
-   * so that the assignment may be outdated.
+   * Called when a server refused a key that is assigned to it in `directory`:
+   * the assignment may be outdated.
    */
   keyRefused(): void;
   /** Called when a rate limit of a server has come into force or ended. */
--- a/src/core/dispatch/dispatcher.ts
+++ b/src/core/dispatch/dispatcher.ts
@@ -338,6 +338,7 @@
     if (request.attempts.length > 0) return;
     switch (step.kind) {
       case "dispatch":
+        // Permits the request to be queued even if its wait limit has passed.
         request.waitEnd = Math.max(request.waitEnd, now + 1);
         return this.#dispatch(request, now);
       case "refuse":
--- a/src/core/dispatch/outcome_review.ts
+++ b/src/core/dispatch/outcome_review.ts
@@ -202,8 +202,8 @@
   }
 
   /**
-   * Records that the server does not own the key or has exited, so that the
-   * assignment known to this VM may be outdated.
+   * Records that the server does not own the key or has exited: the assignment
+   * known to this VM may be outdated.
    */
   #recordKeyRefusal(
     request: PendingRequest,
--- a/src/core/dispatch/request.ts
+++ b/src/core/dispatch/request.ts
@@ -61,7 +61,10 @@
    * attempt; null without a key, or if no assignment was known.
    */
   range: AssignedRange | null;
-  /** When the request is hedged without a response; Infinity for never. */
+  /**
+   * When the request is hedged if there is no response by then; Infinity for
+   * never.
+   */
   hedgeAt: number;
 }
 
--- a/src/core/dispatch/request_times.ts
+++ b/src/core/dispatch/request_times.ts
@@ -25,12 +25,13 @@
 /**
  * Time at which the next timer of a request expires: the end of its wait, or of
  * the condition that it waits for, if it has no attempt in flight; otherwise
- * its deadline or the start of a hedge.
+ * the end of the time in which a response is accepted, or the start of a hedge.
  */
 export function nextCheckAt(request: PendingRequest): number {
   if (request.attempts.length === 0) {
     const { checkAt, waitEnd, transientWaitEnd, deadline, checkedAt } = request;
-    // The condition at that time determines which of them applies.
+    // Which of these ends applies depends on the condition that blocks the
+    // request at that time, so the request is checked at each of them.
     const ends = [waitEnd, transientWaitEnd, deadline];
     return Math.min(ends.find((end) => checkedAt < end) ?? deadline, checkAt);
   }
--- a/src/core/dispatch/retry_budget.ts
+++ b/src/core/dispatch/retry_budget.ts
@@ -116,8 +116,8 @@
     if (last !== undefined && last.index >= index) return last;
     const bucket = { index, requests: 0, retries: 0 };
     this.#buckets.push(bucket);
-    // Keeps one more bucket than a window has, since the window begins within
-    // the oldest bucket.
+    // Bounds memory. `remaining` counts the current bucket and those of the
+    // `BUCKETS - 1` intervals before, not the one in which the window begins.
     while (this.#buckets.length > BUCKETS + 1) this.#buckets.shift();
     return bucket;
   }
--- a/src/core/dispatch/server_choice.ts
+++ b/src/core/dispatch/server_choice.ts
@@ -15,10 +15,11 @@
  */
 const REQUESTS_PER_SLOT = 2;
 /**
- * Maximum number of requests of this VM at a server whose load is unknown, in
- * multiples of the VM's equal share of the slots. It exceeds 1, since callers
- * are spread unevenly over the VMs. If the server has just reported its load,
- * this VM may fill all slots.
+ * Minimum of the limit on this VM's requests at a server, in multiples of the
+ * VM's equal share of the slots. It exceeds 1, since callers are spread
+ * unevenly over the VMs. The limit is higher if the server has just reported
+ * its load, so that this VM may fill all slots, or if its load is unknown and
+ * it has not just refused a request ({@linkcode UNKNOWN_LOAD_SHARE}).
  */
 const LOCAL_SHARE_FACTOR = 4;
 /**
--- a/src/core/exchange/configuration_watch.ts
+++ b/src/core/exchange/configuration_watch.ts
@@ -1,7 +1,7 @@
 /**
- * Fetches the configuration from the store when another VM has had a newer one
- * for some time. Otherwise a VM would keep the old one after a long poll whose
- * response was lost without an error.
+ * Fetches the configuration from the store when other VMs' messages have named
+ * a newer version for some time. Otherwise a VM would keep the old one after a
+ * long poll whose response was lost without an error.
  *
  * @module
  */
@@ -25,8 +25,8 @@
 export class ConfigurationWatch {
   #fetchedAt = -Infinity;
   /**
-   * When another VM was first found to have a newer configuration; Infinity if
-   * none.
+   * Since when every message from another VM has named a newer version;
+   * Infinity if the last one did not.
    */
   #behindSince = Infinity;
 
--- a/src/core/exchange/peer_exchange.ts
+++ b/src/core/exchange/peer_exchange.ts
@@ -129,8 +129,8 @@
 
   /**
    * Whether this VM receives store updates from the term holder instead of
-   * calling the store. Only observers do: unlike candidates, they need nothing
-   * else from the store.
+   * reading them from the store. Only observers do, the VMs that are not
+   * candidates for term holder: they need nothing else from the store.
    */
   hasHolderUpdates(now: number): boolean {
     return this.campaign.isObserver &&
--- a/src/core/exchange/quarantine_exchange.ts
+++ b/src/core/exchange/quarantine_exchange.ts
@@ -7,7 +7,8 @@
  * VMs immediately. Every report includes a digest of the sender's records of
  * such requests. A VM that receives a digest other than its own answers with
  * all of its records of such requests, so that a VM that has just started or
- * has missed updates is up to date after its next report. After a change of the
+ * has missed updates is up to date after its next report. Records of other
+ * requests are sent to all VMs after a short delay. After a change of the
  * holder, each VM sends all its records again. None of this requires the store
  * or the authority of a term.
  *
--- a/src/core/exchange/quarantine_exchange_test.ts
+++ b/src/core/exchange/quarantine_exchange_test.ts
@@ -64,7 +64,7 @@
   deliver(holder, updates, followers, now);
 }
 
-/** Returns a test for VMs that quarantine the request at `now`. */
+/** Returns a predicate: whether a VM quarantines the request at `now`. */
 const isQuarantinedAt = (now: number) => ({ quarantine }: Vm) =>
   quarantine.quarantinedRequest(REQUEST, now) !== null;
 
--- a/src/core/exchange/quarantine_storage_test.ts
+++ b/src/core/exchange/quarantine_storage_test.ts
@@ -49,7 +49,7 @@
   t.is(storage.advance(QUARANTINED_AT + 400)?.records.length, 2);
 });
 
-test("quarantine storage: a VM that starts immediately quarantines the requests it reads", (t) => {
+test("quarantine storage: a VM quarantines the requests that it reads on startup without delay", (t) => {
   const former = createStorage();
   former.quarantineRequest();
   const { records } = former.storage.advance(QUARANTINED_AT)!;
--- a/src/core/exchange/state_exchange.ts
+++ b/src/core/exchange/state_exchange.ts
@@ -1,6 +1,7 @@
 /**
- * Transfers state between VMs: one that cannot reach the store requests the
- * configuration, servers and key assignments from other VMs.
+ * Transfers state between VMs: one that cannot reach the store or has no
+ * configuration requests the configuration, servers and key assignments from
+ * other VMs.
  *
  * @module
  */
--- a/src/core/peers/follower_link.ts
+++ b/src/core/peers/follower_link.ts
@@ -29,8 +29,8 @@
 const IMMEDIATE_REPORTS = 20;
 /**
  * Time over which the first reports to a new holder are spread, in milliseconds
- * per VM beyond that number. The holder accepts connections one at a time and
- * answers each first report with all assignments.
+ * per VM beyond {@linkcode IMMEDIATE_REPORTS}. The holder accepts connections
+ * one at a time and answers each first report with all assignments.
  */
 const REPORT_SPREAD_PER_VM = 3;
 /**
@@ -51,10 +51,10 @@
 const FETCH_INTERVAL = 1_000;
 /**
  * Maximum age of the store data received from the holder with which this VM
- * makes no store calls of its own, in milliseconds. The age consists of the
+ * does not read the store itself, in milliseconds. The age consists of the
  * time since the last answered report, up to half a second, and the time since
  * the holder's last answered store call. If the holder cannot reach the store,
- * this VM calls it after this time, which leaves a second to apply a
+ * this VM reads it after this time, which leaves a second to apply a
  * configuration that must be in force within 2.5 s.
  */
 const MAXIMUM_STORE_AGE = 1_500;
@@ -152,7 +152,7 @@
 
   /**
    * Whether the store data received from the holder is recent enough to replace
-   * this VM's own calls to the store.
+   * this VM's own reads of the store.
    */
   isStoreStateCurrent(now: number): boolean {
     return this.#holder !== null &&
--- a/src/core/peers/holder_link.ts
+++ b/src/core/peers/holder_link.ts
@@ -48,7 +48,8 @@
   limits: readonly KeyLimit[];
   loads: readonly ServerLoad[];
   /**
-   * Rate limits of servers of all services, including recently stopped ones.
+   * Rate limits that servers of all services reported recently, including
+   * reports that a limit ended.
    */
   rates: readonly ServerRateLimit[];
 }
--- a/src/core/peers/peer_message.ts
+++ b/src/core/peers/peer_message.ts
@@ -41,8 +41,9 @@
 /** Part of the sender's state that all messages include. */
 const senderStateSchema = z.object({
   /**
-   * Newest assignments that the sender has: their term, and their version,
-   * which counts the changes within the term.
+   * Term of the assignments that the sender has, and their version, which
+   * counts the changes within the term. If they differ between services, those
+   * of the oldest assignment.
    */
   term: count,
   version: count,
@@ -63,10 +64,7 @@
 /** See {@linkcode senderStateSchema}. */
 export type SenderState = z.infer<typeof senderStateSchema>;
 
-/**
- * The holder of a term: its VM, the address of the VM's process, and its
- * fitness.
- */
+/** The holder of a term: its VM and the address of the VM's process. */
 const holderAddressSchema = z.object({
   term: count,
   vm: z.string(),
@@ -133,9 +131,9 @@
 export const MAXIMUM_RATES = 256;
 
 /**
- * Rate limits reported by servers. Absent in messages of older versions. If a
- * holder's message includes the list, even an empty one, the holder supports
- * token requests.
+ * Rate limits reported by servers. Absent in messages of older versions, and in
+ * a follower's report if there are none. If a holder's message includes the
+ * list, even an empty one, the holder supports token requests.
  */
 const ratesSchema = z.array(
   rateLimitReportSchema.extend({ server: z.string() }),
@@ -246,7 +244,10 @@
   holder: holderAddressSchema,
 });
 
-/** Requests another VM's state for a process that cannot reach the store. */
+/**
+ * Requests another VM's state for a process that cannot reach the store or has
+ * no configuration.
+ */
 const stateWantedSchema = senderStateSchema.extend({
   kind: z.literal("state.wanted"),
   /**
@@ -270,7 +271,7 @@
 
 /**
  * Sent by a new term holder to the previous one to request its unexpired
- * grants.
+ * grants. Here, `term` is the new holder's term.
  */
 const termTakenSchema = senderStateSchema.extend({
   kind: z.literal("term.taken"),
--- a/src/core/peers/state_requester.ts
+++ b/src/core/peers/state_requester.ts
@@ -1,7 +1,8 @@
 /**
- * Requests state from other VMs while the store is unreachable. A process that
- * has just started needs a configuration; one that has a configuration needs
- * the changes that it cannot read from the store.
+ * Requests state from other VMs while this VM has no configuration or cannot
+ * reach the store. A process that has just started needs a configuration; one
+ * that has a configuration needs the changes that it cannot read from the
+ * store.
  *
  * @module
  */
--- a/src/core/peers/vm_count.ts
+++ b/src/core/peers/vm_count.ts
@@ -8,8 +8,8 @@
  */
 
 /**
- * Time for which a larger count is kept, in milliseconds: the window of the
- * retry budget, in which VMs that have stopped still count.
+ * Time for which a larger count is kept, in milliseconds: the default window of
+ * the retry budget, in which the retries of VMs that have stopped still count.
  */
 const RETENTION_TIME = 10_000;
 
--- a/src/core/quarantine/crash_record.ts
+++ b/src/core/quarantine/crash_record.ts
@@ -165,16 +165,21 @@
   return lastCrashAt + quarantineDuration(round);
 }
 
-/** When the record of a request that is not quarantined expires. */
+/**
+ * When the record of a request that is not quarantined expires. During a trial
+ * it is kept longer by the duration of the last quarantine, which also began
+ * with the last crash.
+ */
 export function expiresAt({ round, lastCrashAt }: RequestCrashes): number {
   return lastCrashAt + RECORD_LIFETIME +
     (round === 0 ? 0 : quarantineDuration(round - 1));
 }
 
 /**
- * Whether a record is replicated to all VMs: its request is or was quarantined
- * or near its crash limit. A response that any VM receives then clears the
- * request on all VMs.
+ * Whether a record is replicated to all VMs: its request was quarantined, or
+ * the number of its crashes, including excused ones, is at most one below the
+ * crash limit. A response that any VM receives then clears the request on all
+ * VMs.
  */
 export function isReplicated(
   { round, runs, excused }: RequestCrashes,
--- a/src/core/quarantine/permit_issuer.ts
+++ b/src/core/quarantine/permit_issuer.ts
@@ -13,9 +13,10 @@
 import { MAXIMUM_PERMIT_DURATION, type PermitAnswer } from "./run_permits.ts";
 
 /**
- * Number of consecutive crashes of a request with permits after which no
- * further permit is issued until the last one has expired. By then all VMs know
- * of the crashes and have quarantined the request if it causes them.
+ * Number of consecutive copies with a permit that crashed a server, after which
+ * no further permit is issued for the request until the last one has expired.
+ * By then all VMs know of the crashes and have quarantined the request if it
+ * causes them.
  */
 const MAXIMUM_CONSECUTIVE_CRASHES = 2;
 /** Maximum number of issued permits; limits memory. */
