--- a/src/core/entry.ts
+++ b/src/core/entry.ts
@@ -128,7 +128,8 @@
   }
 
   /**
-   * Time since the last answered call to the store was sent, in milliseconds.
+   * Time since the last answered call to the store was sent, by this VM or by
+   * the VM that sends it the store's updates, in milliseconds.
    */
   storeSilence(now: number): number {
     return this.#store.silence(now);
--- a/src/core/entry_effect.ts
+++ b/src/core/entry_effect.ts
@@ -36,7 +36,7 @@
   | { kind: "connections.close"; server: string }
   /** Set the result of the load balancer's readiness checks. */
   | { kind: "readiness.set"; isReady: boolean }
-  /** Close each caller connection after its next response. */
+  /** Close each caller connection after its last pending response. */
   | { kind: "callers.drain" }
   /**
    * Close idle caller connections and accept no new ones. The event
--- a/src/core/entry_status.ts
+++ b/src/core/entry_status.ts
@@ -13,12 +13,15 @@
   pending: number;
   /** Estimated number of VMs, or null. */
   vms: number | null;
-  /** Time since the last answered call to the store was sent. */
+  /**
+   * Time since the last answered call to the store was sent, by this VM or by
+   * the VM that sends it the store's updates.
+   */
   storeSilence: number;
   term: {
     /** Phase of this VM in the election and in its term. */
     phase: string;
-    /** Address of the holder, or null. */
+    /** Address of the holder; null if none is known or it is this VM. */
     holder: string | null;
     /** Time since the last message from the holder. */
     holderSilence: number;
--- a/src/core/shutdown.ts
+++ b/src/core/shutdown.ts
@@ -10,9 +10,9 @@
 
 /**
  * Share of {@linkcode ShutdownTiming.closeAfter} after which new requests are
- * refused. A long request accepted later could be cut off by the forced stop,
- * which callers tolerate only for requests of the first 3 s of the shutdown. By
- * this time the load balancer routes to other VMs.
+ * refused. A long request may be cut off by the forced stop. Callers tolerate
+ * that only for requests of the first 3 s of the shutdown, so later ones are
+ * refused. By this time the load balancer routes to other VMs.
  */
 const REFUSAL_SHARE = 0.8;
 
--- a/src/core/store_health.ts
+++ b/src/core/store_health.ts
@@ -1,10 +1,12 @@
 /**
- * Tracks whether the store answers this VM, and suppresses billed calls during
- * an outage.
+ * Tracks whether the store answers this VM, and suppresses calls that can wait
+ * during an outage. Each call is billed, even a rejected one; a membership call
+ * costs a tenth of a read. Membership calls are therefore not suppressed: they
+ * detect when the store answers again.
  *
  * ```ts
  * health.failed("read the registry", now);
- * health.isFailing(now); // true: no billed call is made
+ * health.isFailing(now); // true: calls that can wait are not made
  * health.answered(sentAt, now); // a membership call was answered
  * ```
  *
@@ -19,7 +21,7 @@
  */
 const LOST_AFTER = 1_500;
 /**
- * Maximum time for which no billed call is made after one has failed, in
+ * Maximum time for which calls are suppressed after one has failed, in
  * milliseconds. Rejected calls are billed too, and an outage lasts seconds.
  */
 const RETRY_DELAY = 2_000;
@@ -29,9 +31,15 @@
  * clock.
  */
 export class StoreHealth {
-  /** When the last answered call was sent. */
+  /**
+   * When the last answered call was sent, by this VM or by the VM that sends it
+   * the store's updates.
+   */
   #answeredAt = -Infinity;
-  /** When a billed call last failed; -Infinity if a call was answered since. */
+  /**
+   * When a call other than a membership call last failed; -Infinity if a call
+   * was answered since.
+   */
   #failedAt = -Infinity;
   /** Steps that have failed since the store last answered. */
   readonly #failingSteps = new Set<string>();
@@ -49,7 +57,10 @@
     return this.#isLost;
   }
 
-  /** Time since the last answered call was sent. */
+  /**
+   * Time since the last answered call was sent, by this VM or by the VM that
+   * sends it the store's updates.
+   */
   silence(now: number): number {
     return now - this.#answeredAt;
   }
@@ -93,17 +104,17 @@
   }
 
   /**
-   * Whether a billed call has failed within the retry delay and no call was
-   * answered since. No further billed call is made meanwhile: the membership
-   * calls, which cost a tenth, detect when the store answers again.
+   * Whether a call other than a membership call has failed within the retry
+   * delay and no call was answered since. Calls that can wait are not made
+   * meanwhile.
    */
   isFailing(now: number): boolean {
     return now < this.retryAt;
   }
 
   /**
-   * Time until which no billed call is made; in the past while the store
-   * answers.
+   * Time until which calls that can wait are suppressed; in the past while the
+   * store answers.
    */
   get retryAt(): number {
     return this.#failedAt + RETRY_DELAY;
--- a/src/core/store_health_test.ts
+++ b/src/core/store_health_test.ts
@@ -24,7 +24,7 @@
   t.true(health.advance(2_600));
 });
 
-test("store health: a failed billed call suppresses further ones until a call is answered", (t) => {
+test("store health: a failed call suppresses further ones until a call is answered", (t) => {
   const health = StoreHealth.create();
   health.answered(0, 4);
   t.true(health.failed("read the registry", 100));
--- a/src/runtime/backend_pool.ts
+++ b/src/runtime/backend_pool.ts
@@ -197,7 +197,7 @@
     );
   }
 
-  /** Cancels an attempt and resets its connection. */
+  /** Cancels an attempt and closes its connection. */
   cancel(attempt: number): void {
     const running = this.#attempts.get(attempt);
     if (running === undefined) return;
--- a/src/runtime/caller_connection.ts
+++ b/src/runtime/caller_connection.ts
@@ -110,6 +110,7 @@
     this.#isEnding = true;
     this.#finalBytes = finalBytes;
     if (this.#pending.length > 0) return;
+    // After this time the last response no longer counts as in transit.
     const isPastLinger = monotonicNow() - this.#lastSentAt > LINGER_TIMEOUT;
     if (finalBytes === "" && isPastLinger) this.socket.end();
     else this.#closeGracefully(finalBytes);
--- a/src/runtime/caller_server.ts
+++ b/src/runtime/caller_server.ts
@@ -52,8 +52,8 @@
 /**
  * Age up to which a request counts as just received and keeps its whole
  * timeout, in milliseconds. The delay of the event loop is not known more
- * precisely, and servers may work for up to half a second for callers that have
- * disconnected.
+ * precisely, and it is acceptable that servers work for up to half a second for
+ * callers that have disconnected.
  */
 const MAXIMUM_FRESH_AGE = 150;
 const MILLISECONDS_PER_SECOND = 1_000;
--- a/src/runtime/effect_runner.ts
+++ b/src/runtime/effect_runner.ts
@@ -153,8 +153,8 @@
   }
 
   /**
-   * Closes the callers' connections. The logged counts distinguish requests
-   * that the close cuts off from requests that arrive at the same time.
+   * Closes the callers' connections. Logs the counts before the close, which
+   * tell requests that it cuts off from requests that arrive at the same time.
    */
   #closeCallers(): void {
     const { callers, logger } = this.adapters;
--- a/src/runtime/elapsed_clock.ts
+++ b/src/runtime/elapsed_clock.ts
@@ -158,7 +158,8 @@
     if (Math.abs(shift) <= MAXIMUM_DRIFT) this.#passedChecks += 1;
     else if (!hasJumped && !this.#isUptimeTrusted) this.#isUptimeFaulty = true;
     else if (shift >= MINIMUM_JUMP && this.#isUptimeTrusted) {
-      // The time of day was set back while the machine was suspended.
+      // The machine was suspended, but the time of day was set back meanwhile
+      // and therefore has not jumped.
       this.#addJump({ gap: shift, isCertain: true });
     }
   }
--- a/src/runtime/feed_follower.ts
+++ b/src/runtime/feed_follower.ts
@@ -33,15 +33,15 @@
 /** Timing of the reads of a feed. */
 export interface FeedTiming {
   /**
-   * Long-poll timeout of a read, in milliseconds. It suits feeds that change
-   * seldom and whose updates are needed at once.
+   * Long-poll timeout of a read, in milliseconds. Long polls suit feeds that
+   * change seldom and whose updates are needed at once.
    */
   longPollTimeout: number;
   /** Long-poll timeout shortly after a failed read, in milliseconds. */
   longPollTimeoutAfterFailure: number;
   /**
-   * Minimum interval between the starts of two reads, in milliseconds. It suits
-   * feeds that change constantly.
+   * Minimum interval between the starts of two reads, in milliseconds. Reading
+   * at intervals suits feeds that change constantly.
    */
   readInterval: number;
 }
--- a/src/runtime/http_client.ts
+++ b/src/runtime/http_client.ts
@@ -57,7 +57,7 @@
   transfer?: TransferTimeouts;
   /** Called when the headers of the response have arrived. */
   onResponse?: () => void;
-  /** Aborts the call and resets its connection. */
+  /** Aborts the call and closes its connection. */
   signal?: AbortSignal;
   /**
    * Time from now within which the call may open a connection, in milliseconds;
@@ -119,7 +119,7 @@
 
   /**
    * Sends a call and receives its response. Rejects when the response does not
-   * arrive in time, stalls, or its connection closes. A call that is aborted
+   * arrive in time, stalls, or its connection closes. A call that times out
    * resets its connection, so that bytes still in transit are not delivered
    * later.
    */
--- a/src/runtime/http_client_test.ts
+++ b/src/runtime/http_client_test.ts
@@ -72,7 +72,7 @@
   t.is(connections.size, 3);
 });
 
-test("http client: an aborted call resets its connection", async (t) => {
+test("http client: an aborted call rejects", async (t) => {
   const { address } = await startServer(t, () => null);
   const client = createClient(t);
   const controller = new AbortController();
--- a/src/runtime/loop_lag.ts
+++ b/src/runtime/loop_lag.ts
@@ -7,16 +7,16 @@
 import { monotonicNow } from "./monotonic_clock.ts";
 
 /**
- * Interval of the measurement, in milliseconds. A delay of up to this length
- * may go undetected.
+ * Interval of the measurement, in milliseconds. A delay is counted from when
+ * the next measurement was due, up to this much after it began.
  */
 const MEASURE_INTERVAL = 50;
 /**
  * Delay above which a turn of the loop counts as late, in milliseconds: one
  * measurement was missed. Together with the interval, a delay of 0.1 s may go
- * undetected. This is acceptable: servers may work for up to half a second for
- * callers that have disconnected, and a shutdown rejects requests 0.12 s before
- * it must.
+ * undetected. This is acceptable: servers are allowed to work for up to half a
+ * second for callers that have disconnected, and a shutdown rejects requests
+ * 0.12 s before it must.
  */
 const LATENESS_THRESHOLD = MEASURE_INTERVAL;
 
--- a/src/runtime/readiness_server.ts
+++ b/src/runtime/readiness_server.ts
@@ -1,6 +1,7 @@
 /**
  * Health check endpoint for the platform's load balancer. It reports whether
- * this VM accepts new connections.
+ * new connections should be routed to this VM. During a shutdown they should
+ * not, although the VM still accepts them for some seconds.
  *
  * @module
  */
