--- a/src/cli/exit_code.ts
+++ b/src/cli/exit_code.ts
@@ -11,6 +11,6 @@
   failed: 1,
   /** The input is invalid; nothing was changed. */
   invalid: 2,
-  /** A publication was rejected because of a concurrent one. */
+  /** Not used: a rejected publication ends with `failed`. */
   refused: 3,
 } as const;
--- a/src/load/history.ts
+++ b/src/load/history.ts
@@ -123,9 +123,10 @@
 }
 
 /**
- * Returns the longest time between two served requests for the same key, in
- * milliseconds, and that key. Requests for each key are sent continuously, so
- * no key was unavailable for longer.
+ * Returns the longest time between two consecutive served requests for the same
+ * key, in milliseconds, and that key. No key was unavailable for longer between
+ * its first and its last served request, provided that callers request every
+ * key continuously.
  */
 export function longestGap({ calls }: History): { key: string; gap: number } {
   const last = new Map<string, number>();
--- a/src/metrics/latency_histogram.ts
+++ b/src/metrics/latency_histogram.ts
@@ -21,7 +21,7 @@
 
 /** A histogram of durations with three significant digits. */
 export class LatencyHistogram {
-  /** Counts microseconds, up to one minute. */
+  /** Counts microseconds; initially up to one minute, it grows as needed. */
   readonly #histogram: Histogram = build({
     lowestDiscernibleValue: 1,
     highestTrackableValue: 60 * 1_000 * MICROSECONDS_PER_MILLISECOND,
--- a/test/crashing_request_test.ts
+++ b/test/crashing_request_test.ts
@@ -31,7 +31,8 @@
 /** Time for VMs to receive the record of a crash, in milliseconds. */
 const PROPAGATION_TIME = 3_000;
 /**
- * Minimum share of the other callers' requests that are served from then on.
+ * Minimum share of the other callers' requests that are served once VMs have
+ * received the record of the last allowed crash.
  */
 const MINIMUM_SERVED_SHARE = 0.98;
 /** Time for which the request is repeated, in milliseconds. */
--- a/test/ownership/cold_servers_test.ts
+++ b/test/ownership/cold_servers_test.ts
@@ -1,8 +1,8 @@
 /**
  * All servers of a zone return under load. They are cold and crash again if
- * they receive too many requests. One VM of 61 sends a request to a given
- * server only once in several seconds, but if every VM sends one as soon as it
- * learns of the server's return, the server receives four times as many
+ * they receive too many requests. Each of 61 VMs sends a request to a given
+ * server only once in several seconds, but if all of them send one as soon as
+ * they learn of the server's return, the server receives four times as many
  * requests as it can run.
  */
 import test from "ava";
--- a/test/ownership/crashing_request_test.ts
+++ b/test/ownership/crashing_request_test.ts
@@ -130,8 +130,8 @@
 }
 
 /**
- * Copies arrive at all VMs at the same time: those that wait while their key
- * has no server are all sent to its next server at once.
+ * Several copies are sent at the same time, each to a random VM. Those that
+ * wait while their key has no server are all sent to its next server at once.
  */
 const COPIES: CrashingRequest = { ...CRASHING_REQUEST, copies: 6 };
 
--- a/test/ownership/model_store.ts
+++ b/test/ownership/model_store.ts
@@ -1,7 +1,7 @@
 /**
  * The store under virtual time: a log of assignments that rejects writes of
- * older terms, and a consumer group that elects the member with the first
- * partition.
+ * older terms, and a group that elects one of its members. (The actual store
+ * distributes partitions, and the member with the first one is elected.)
  *
  * @module
  */
--- a/test/ownership/ownership_test.ts
+++ b/test/ownership/ownership_test.ts
@@ -231,8 +231,8 @@
     faults: [],
     duration: 12_000,
     seed: 1,
-    // One of the first 16 orders takes 0.36 ms on a whole core; the VM has 0.27
-    // of one.
+    // Each of the first 16 orders takes 0.36 ms on a whole core; the VM has
+    // only 0.27 of a core.
     orderTime: 1.35,
   });
   t.deepEqual(report.violations, []);
--- a/test/ownership/request_load.ts
+++ b/test/ownership/request_load.ts
@@ -228,7 +228,10 @@
   #serverCount = 0;
   /** Requests that were reset because the server's queue was full. */
   resets = 0;
-  /** Requests that reached a server that does not hold the key. */
+  /**
+   * Requests that reached a server that does not hold the key, or that were
+   * intended for another server.
+   */
   misdirected = 0;
   /** Requests that reached a server. */
   arrivals = 0;
--- a/test/ownership/simulation.ts
+++ b/test/ownership/simulation.ts
@@ -385,9 +385,11 @@
   readonly #vms: Vm[] = [];
   /** All server processes, including those that have ended. */
   readonly #servers: ModelServer[] = [];
+  /** Entries of the registry, by server id. */
   readonly #entries = new Map<string, BackendServer>();
   /** Log of the registry: ids of the entries written or removed, in order. */
   readonly #registryLog: string[] = [];
+  /** Time at which each fault ends, by the name that `#faultName` returns. */
   readonly #activeUntil = new Map<string, number>();
   /** Tokens of first grants, for simulations in which renewals reuse them. */
   readonly #firstTokens = new Map<string, number>();
@@ -1433,8 +1435,9 @@
 }
 
 /**
- * Returns the sequence number of a VM's claims, by which the store
- * distinguishes them from those of other VMs.
+ * Returns the sequence number of the claims of a VM's process; its writes use
+ * the numbers after it. By this number the store distinguishes a claim from the
+ * claims of other processes.
  */
 function firstSequence({ index, restartCount }: Vm): number {
   return SEQUENCES_PER_PROCESS * (1 + index + MAXIMUM_VMS * restartCount);
--- a/test/ownership/suspension_test.ts
+++ b/test/ownership/suspension_test.ts
@@ -80,7 +80,7 @@
   t.true(longestOverrun <= 500, `${longestOverrun} ms beyond its deadline`);
 });
 
-test("suspension: a clock jump that may not be a suspension gives no key to two servers", (t) => {
+test("suspension: a clock jump whose cause is uncertain gives no key to two servers", (t) => {
   const violations = fc.sample(clockStepSchedules, {
     numRuns: RUNS,
     seed: SEED,
--- a/test/rate_limited_server_test.ts
+++ b/test/rate_limited_server_test.ts
@@ -65,7 +65,7 @@
 }
 
 for (const service of ["stock", "orders"] as const) {
-  test.serial(`all entries together respect the rate limit of a ${service} server, and serve all requests after it`, async (t) => {
+  test.serial(`all entries together respect the rate limit of a ${service} server, and serve requests again after it`, async (t) => {
     const deployment = await Deployment.start({ entries: 4, servers: 4 });
     t.teardown(() => deployment.stop());
     const startedAt = Date.now();
--- a/test/soak/soak_plan.ts
+++ b/test/soak/soak_plan.ts
@@ -6,7 +6,7 @@
  */
 import { uniformFloat64 } from "../../src/core/random.ts";
 
-/** Operations of operators, which must not affect callers and servers. */
+/** Operations of operators, which must not interrupt running requests. */
 export const PLANNED_OPERATIONS = [
   "entry.stop",
   "entry.reload",
--- a/test/soak/soak_run.ts
+++ b/test/soak/soak_run.ts
@@ -390,10 +390,10 @@
   }
 
   /**
-   * Waits until all servers run, and every entry knows all servers, the latest
-   * configuration, and an open server for every key. The state must last for
-   * several checks, because a paused entry may still send a crashing request
-   * when it continues.
+   * Waits until all servers run, and every entry knows all servers and the
+   * latest configuration and may send requests for every key. The state must
+   * last for several checks, because a paused entry may still send a crashing
+   * request when it continues.
    */
   async #waitUntilRecovered(): Promise<void> {
     const { entries, servers } = this.#deployment;
--- a/tools/vary_site.ts
+++ b/tools/vary_site.ts
@@ -16,7 +16,10 @@
 import { hideBin } from "yargs/helpers";
 import { uniformFloat64 } from "../src/core/random.ts";
 
-/** Parameters of a variant. */
+/**
+ * Parameters of a variant. Request rates are reduced in proportion if there are
+ * fewer servers, and divided by `times`.
+ */
 export interface SiteVariant {
   /**
    * Number of availability zones to keep; the others are merged into them in
