--- a/src/core/dispatch/cold_admission_test.ts
+++ b/src/core/dispatch/cold_admission_test.ts
@@ -2,7 +2,7 @@
 import { backendServer } from "../../../test/support/backend_server.ts";
 import { Catalog, configurationSchema } from "../catalog/index.ts";
 import { Fleet } from "../fleet/index.ts";
-import { uniformFloat64 } from "../random.ts";
+import { createUniformGenerator } from "../random.ts";
 import { RateTokens } from "../rates/index.ts";
 import { ColdAdmission } from "./cold_admission.ts";
 import { chooseServer } from "./server_choice.ts";
@@ -57,7 +57,7 @@
  */
 function sendTimes({ vmCount, seed, discoversAt, rate }: Scenario): number[] {
   const catalog = catalogWith({ duration: WARM_UP, requestsPerSecond: RATE });
-  const draw = uniformFloat64(seed);
+  const draw = createUniformGenerator(seed);
   const entries = Array.from({ length: vmCount }, (_, vm) => ({
     admission: ColdAdmission.create(catalog, () => vmCount, draw),
     fleet: fleetWith(WARM_UP, discoversAt(vm)),
--- a/src/core/entry.ts
+++ b/src/core/entry.ts
@@ -20,7 +20,7 @@
   TermCampaign,
 } from "./keyspace/index.ts";
 import { PeerExchange, QuarantineStorage } from "./exchange/index.ts";
-import { uniformFloat64 } from "./random.ts";
+import { createUniformGenerator } from "./random.ts";
 import { Shutdown } from "./shutdown.ts";
 import { StoreHealth } from "./store_health.ts";
 
@@ -83,7 +83,7 @@
       emit,
       options.peerAddress,
       options.seeds,
-      uniformFloat64(options.seed),
+      createUniformGenerator(options.seed),
     );
     this.dispatcher = Dispatcher.create({
       catalog,
@@ -97,7 +97,7 @@
       coldAdmission: ColdAdmission.create(
         catalog,
         () => this.vms,
-        uniformFloat64(options.seed + 1),
+        createUniformGenerator(options.seed + 1),
       ),
       availabilityZone: options.availabilityZone,
       retryLimits: options.retryLimits,
@@ -106,7 +106,7 @@
       keyRefused: () => this.peers.keyRefused(),
       rateLimitChanged: (change, now) =>
         this.peers.rateLimitChanged(change, now),
-      draw: uniformFloat64(options.seed),
+      draw: createUniformGenerator(options.seed),
     });
     this.#shutdown = Shutdown.create(options.shutdown);
     this.#registryTiming = options.registryTiming;
--- a/src/core/exchange/overload_monitor.ts
+++ b/src/core/exchange/overload_monitor.ts
@@ -13,7 +13,7 @@
   type KeyLoads,
   type TermHolder,
 } from "../keyspace/index.ts";
-import { MAXIMUM_RATES, type OverloadState } from "../peers/index.ts";
+import { MAXIMUM_RATE_LIMITS, type OverloadState } from "../peers/index.ts";
 
 /**
  * Time between two checks, in milliseconds: half of the time between two
@@ -68,7 +68,7 @@
     )
       .slice(0, MAXIMUM_LOADS);
     this.#logChanges(limits);
-    const rates = fleet.reportedRateLimits(now).slice(0, MAXIMUM_RATES);
+    const rates = fleet.reportedRateLimits(now).slice(0, MAXIMUM_RATE_LIMITS);
     this.#current = { limits, loads, rates };
     keyLimits.replace(limits, now);
   }
--- a/src/core/exchange/peer_exchange.ts
+++ b/src/core/exchange/peer_exchange.ts
@@ -16,7 +16,7 @@
   FollowerLink,
   type HolderAddress,
   type HolderState,
-  MAXIMUM_RATES,
+  MAXIMUM_RATE_LIMITS,
   type MessageOf,
   type PeerMessage,
   type SenderState,
@@ -392,7 +392,7 @@
     if (!this.followerLink.isReportDue(now)) return [];
     return this.clusterState.fleet.takeUnsentRateLimits(now).slice(
       0,
-      MAXIMUM_RATES,
+      MAXIMUM_RATE_LIMITS,
     );
   }
 
--- a/src/core/peers/peer_message.ts
+++ b/src/core/peers/peer_message.ts
@@ -128,7 +128,7 @@
 });
 
 /** Maximum number of servers whose rate limits one message carries. */
-export const MAXIMUM_RATES = 256;
+export const MAXIMUM_RATE_LIMITS = 256;
 
 /**
  * Rate limits reported by servers. Absent in messages of older versions, and in
@@ -138,7 +138,7 @@
 const ratesSchema = z.array(
   rateLimitReportSchema.extend({ server: z.string() }),
 )
-  .max(MAXIMUM_RATES).optional();
+  .max(MAXIMUM_RATE_LIMITS).optional();
 
 /**
  * A follower's report to the term holder on the keys that were requested
--- a/src/core/random.ts
+++ b/src/core/random.ts
@@ -11,7 +11,7 @@
  * Creates a generator of uniform numbers in [0, 1) that depends on its seed
  * alone.
  */
-export function uniformFloat64(seed: number): () => number {
+export function createUniformGenerator(seed: number): () => number {
   const generator = xoroshiro128plus(seed);
   return () => draw(generator);
 }
--- a/src/runtime/control_store.ts
+++ b/src/runtime/control_store.ts
@@ -39,7 +39,7 @@
 }
 
 /** Result of a read of a feed. */
-export interface StoreRead extends DecodedRead {
+export interface FeedRead extends DecodedRead {
   events: UntimedEvent[];
   /** Position of the next read. */
   next: number;
@@ -80,12 +80,12 @@
  */
 export abstract class ControlStore {
   /** Reads all current records of a feed. */
-  abstract readAll(feed: Feed): Promise<StoreRead>;
+  abstract readAll(feed: Feed): Promise<FeedRead>;
   /**
    * Reads the records of a feed from a position on. If there are none yet,
    * waits up to `wait` milliseconds for the next one.
    */
-  abstract readFrom(feed: Feed, from: number, wait: number): Promise<StoreRead>;
+  abstract readFrom(feed: Feed, from: number, wait: number): Promise<FeedRead>;
   /** Reads the registry from a position on, or all of it if `from` is null. */
   abstract readServers(from: number | null): Promise<ServersRead>;
   /**
--- a/src/runtime/feed_follower.ts
+++ b/src/runtime/feed_follower.ts
@@ -7,7 +7,7 @@
 import type { Logger } from "../logging/index.ts";
 import { errorText } from "../errors/index.ts";
 import { monotonicNow } from "./monotonic_clock.ts";
-import type { ControlStore, Feed, StoreRead } from "./control_store.ts";
+import type { ControlStore, Feed, FeedRead } from "./control_store.ts";
 import type { EventSink } from "./entry_loop.ts";
 import type { EntryMetrics } from "./entry_metrics.ts";
 import { RecordFaultLog } from "./record_fault_log.ts";
@@ -179,7 +179,7 @@
     });
   }
 
-  #applyRead(read: StoreRead, sentAt: number): void {
+  #applyRead(read: FeedRead, sentAt: number): void {
     this.sink.push({ kind: "store.answered", sentAt });
     this.faultLog.update(read);
     for (const event of read.events) this.sink.push(event);
--- a/src/runtime/feed_follower_test.ts
+++ b/src/runtime/feed_follower_test.ts
@@ -1,7 +1,7 @@
 import { Writable } from "node:stream";
 import test from "ava";
 import { Logger } from "../logging/index.ts";
-import type { ControlStore, StoreRead } from "./control_store.ts";
+import type { ControlStore, FeedRead } from "./control_store.ts";
 import { EntryMetrics } from "./entry_metrics.ts";
 import { FeedFollower } from "./feed_follower.ts";
 
@@ -15,7 +15,7 @@
  */
 function startFollower(results: readonly ("update" | "failure")[]) {
   const timeouts: number[] = [];
-  const read: StoreRead = {
+  const read: FeedRead = {
     events: [],
     faults: [],
     sound: [],
@@ -35,7 +35,7 @@
       readCount += 1;
       if (result === "failure") return Promise.reject(new Error("reset"));
       if (result === "update") return Promise.resolve(read);
-      return new Promise<StoreRead>(() => {});
+      return new Promise<FeedRead>(() => {});
     },
     isExpired: () => false,
     waitUntilReachable: () => Promise.resolve(),
--- a/test/ownership/configuration_test.ts
+++ b/test/ownership/configuration_test.ts
@@ -6,7 +6,7 @@
  * within 2 s.
  */
 import test from "ava";
-import { uniformFloat64 } from "../../src/core/random.ts";
+import { createUniformGenerator } from "../../src/core/random.ts";
 import {
   type Fault,
   Simulation,
@@ -35,7 +35,7 @@
 
 /** Draws overlapping faults, most of them at VMs that may hold the term. */
 function drawFaults(seed: number): Fault[] {
-  const draw = uniformFloat64(seed);
+  const draw = createUniformGenerator(seed);
   const faults: Fault[] = [];
   for (let at = 4_000; at < DURATION; at += 500 + 2_500 * draw()) {
     const kind = KINDS[Math.floor(draw() * KINDS.length)];
--- a/test/ownership/simulation.ts
+++ b/test/ownership/simulation.ts
@@ -24,7 +24,7 @@
 } from "../../src/core/keyspace/index.ts";
 import type { CrashRecord } from "../../src/core/quarantine/index.ts";
 import type { HolderAddress, PeerMessage } from "../../src/core/peers/index.ts";
-import { uniformFloat64 } from "../../src/core/random.ts";
+import { createUniformGenerator } from "../../src/core/random.ts";
 import type { RegistryRead } from "../../src/core/registry/index.ts";
 import {
   type KeyGrant,
@@ -429,7 +429,7 @@
   readonly #publications: number[] = [0];
 
   private constructor(private readonly options: SimulationOptions) {
-    this.#draw = uniformFloat64(options.seed);
+    this.#draw = createUniformGenerator(options.seed);
     this.#store = ModelStore.create(!options.isStoreVolatile);
     for (let i = 0; i < options.servers; i++) this.#addServer();
     for (let i = 0; i < options.vms; i++) {
--- a/test/soak/soak_plan.ts
+++ b/test/soak/soak_plan.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import { uniformFloat64 } from "../../src/core/random.ts";
+import { createUniformGenerator } from "../../src/core/random.ts";
 
 /** Operations of operators, which must not interrupt running requests. */
 export const PLANNED_OPERATIONS = [
@@ -117,7 +117,7 @@
   loadDuration: number,
 ): SoakPlan {
   const plan = createPlan(seed, loadDuration);
-  const random = uniformFloat64(seed ^ EXTENDED_SEED_MASK);
+  const random = createUniformGenerator(seed ^ EXTENDED_SEED_MASK);
   const added: SoakFault[] = [];
   let at = START_MARGIN;
   while (at < loadDuration - END_MARGIN) {
@@ -133,7 +133,7 @@
 
 /** Creates the plan of a seed, for a load of `loadDuration` milliseconds. */
 export function createPlan(seed: number, loadDuration: number): SoakPlan {
-  const random = uniformFloat64(seed);
+  const random = createUniformGenerator(seed);
   const randomIndex = (count: number) => Math.floor(random() * count);
   const isPlannedOnly = seed % PLANNED_ONLY_INTERVAL === 0;
   const kinds: readonly FaultKind[] = isPlannedOnly
--- a/tools/vary_site.ts
+++ b/tools/vary_site.ts
@@ -14,7 +14,7 @@
 import { basename, dirname, join } from "node:path";
 import yargs from "yargs";
 import { hideBin } from "yargs/helpers";
-import { uniformFloat64 } from "../src/core/random.ts";
+import { createUniformGenerator } from "../src/core/random.ts";
 
 /**
  * Parameters of a variant. Request rates are reduced in proportion if there are
@@ -45,7 +45,7 @@
 
 /** Derives a variant from a seed. */
 export function variantOf(seed: number): SiteVariant {
-  const nextRandom = uniformFloat64(seed);
+  const nextRandom = createUniformGenerator(seed);
   // Generators with similar small seeds produce similar first values.
   for (let i = 0; i < SKIPPED_VALUES; i++) nextRandom();
   const pick = <T>(values: readonly T[]): T =>
