--- a/src/core/holder_change_test.ts
+++ b/src/core/holder_change_test.ts
@@ -6,8 +6,7 @@
  * fitness assume that the holder has failed and become candidates, although it
  * keeps writing assignments. A VM of low fitness holds the term only briefly,
  * so the holder then changes every 2 to 3 s. With 195 VMs, 177 of them of low
- * fitness, this went on to the end of the run, with 14,379 calls to the store
- * and 0.33 of the maximum score for keyed requests.
+ * fitness, this went on to the end of the run, with 14,379 calls to the store.
  */
 import test from "ava";
 import { emptyConfiguration } from "../../test/support/empty_configuration.ts";
--- a/src/stand_ins/wire.ts
+++ b/src/stand_ins/wire.ts
@@ -1,7 +1,8 @@
 /**
- * The names and framing of the platform's protocol, as specified by the deploy
- * file. The stand-ins use this copy instead of the platform adapter's, so that
- * a fault in the adapter is not repeated here and tests detect it.
+ * The names of the platform's HTTP headers and of its registry topic, and the
+ * encoding of its keyed records. The stand-ins use this copy instead of the one
+ * in `platform/`, so that a fault there is not repeated here and tests detect
+ * it.
  *
  * @module
  */
